--- a/scripts/guards/list.mjs
+++ b/scripts/guards/list.mjs
@@ -66,7 +66,7 @@
   {
     name: 'an isolated leader steps down and stops vouching',
     file: 'packages/coordination/src/agreement/leadership.ts',
-    find: 'if (age > quorumWindowMs && !this.hasQuorum(quorumWindowMs)) {',
+    find: 'if (age > quorumWindowMs && !this.hasQuorum(quorumWindowMs + lateMs)) {',
     put: 'if (age < 0) {',
     also: {
       file: 'packages/coordination/src/agreement/contact.ts',
@@ -108,8 +108,8 @@
   {
     name: 'a drain waits for running work',
     file: 'packages/entry/src/http/server.ts',
-    find: '    await closed;\n  }\n\n  /** Cuts',
-    put: '    this.server.closeAllConnections();\n    await closed;\n  }\n\n  /** Cuts',
+    find: '    NetServer.prototype.close.call(this.server);\n',
+    put: '    NetServer.prototype.close.call(this.server);\n    this.server.closeAllConnections();\n',
     spec: 'packages/proof/src/leaving',
     test: 'of an entry finishes its streams',
   },
