--- a/packages/relay/src/placement/lack.ts
+++ b/packages/relay/src/placement/lack.ts
@@ -1,76 +1,89 @@
-/** What a target lacks of a prompt: where its shared parts are, and what it costs to bring them there. */
+/**
+ * Estimates what a prompt costs at a target: the tokens it must read (prefill) and those it can fetch from a store.
+ */
 import { homesOf, textKey } from '@jasmineroute/routing';
 import type { Target } from '@jasmineroute/knowledge';
 import type { PromptOutline } from '../dialect/index.js';
 
-/** Shared tokens from which on a prompt has a home: reading less than that again is worth no unevenness. */
-const HOME_TOKENS = 1_000;
+/** Minimum shared tokens for a prompt to have a home target: rereading fewer tokens costs less than uneven load. */
+const MIN_HOME_TOKENS = 1_000;
 
 /**
- * What a prompt costs at a target that fetches its shared parts, as a part of their tokens: all fetches go one after the
- * other over the store's one link, and a full link delays first tokens at every target.
+ * Cost of fetching shared parts, as a fraction of their tokens: fetches are serialized on the store's single link,
+ * and a saturated link delays first tokens at every target.
  */
-const FETCH_PART = 0.8;
+const FETCH_COST_RATIO = 0.8;
 
-/** The same when the shared parts must be read: what was read somewhere for these weights is better not read again. */
-const READ_AGAIN_PART = 0.5;
+/**
+ * Cost of rereading shared parts away from the home target, on top of the read itself: parts that another target has
+ * already read with the same weights should not be read again.
+ */
+const REREAD_COST_RATIO = 0.5;
 
 /**
- * Where a prompt's shared parts are: in the target's own cache, in a store, in a store whose link is too busy to fetch
- * them, nowhere, or nobody tells.
+ * Where a prompt's shared parts are: in the target's own cache, in a store, in a store whose link is too busy to
+ * fetch them, in no cache, or unknown because there is no report.
  */
-export type PartsPlace = 'here' | 'store' | 'busy' | 'nowhere' | 'unknown';
+export type PartsLocation = 'here' | 'store' | 'busy' | 'nowhere' | 'unknown';
 
-/** A prompt's shared parts, as seen from one target. */
-export interface PartsView {
-  readonly place: PartsPlace;
-  /** Tokens of the shared parts that the target has or can fetch, from the first one on. */
+/** Availability of a prompt's shared parts for one target. */
+export interface PartsAvailability {
+  readonly location: PartsLocation;
+  /** Leading tokens of the shared parts that the target has or can fetch. */
   readonly cachedTokens: number;
-  /** How long a fetch from the store takes, the wait for its link included, milliseconds. */
+  /** Duration of a fetch from the store in milliseconds, including the wait for its link. */
   readonly fetchMs?: number;
 }
 
-/** Nobody tells where the parts are. */
-export const UNKNOWN_PARTS: PartsView = { place: 'unknown', cachedTokens: 0 };
+/** Availability when no cache has reported where the parts are. */
+export const UNKNOWN_AVAILABILITY: PartsAvailability = { location: 'unknown', cachedTokens: 0 };
 
-/** What of a prompt a target lacks. */
-export interface Lack {
-  readonly place: PartsPlace;
-  /** Tokens that it reads. */
+/** Cost of a prompt at one target. */
+export interface PrefillCost {
+  readonly location: PartsLocation;
+  /** Tokens that the target reads. */
   readonly tokens: number;
-  /** Tokens that it fetches. */
+  /** Tokens that the target fetches from a store. */
   readonly fetched: number;
-  /** What bringing the rest there costs, or leaving the home, in tokens. */
+  /** Additional cost, in tokens, of fetching the remaining parts or of leaving the home target. */
   readonly penalty: number;
-  /** How long it waits for what it fetches, milliseconds. */
+  /** Wait for the fetch, milliseconds. */
   readonly fetchMs: number;
 }
 
-/** Tokens of the parts that a prompt shares with others: all but the last, which is its own. */
-const sharedTokens = ({ parts }: PromptOutline): number =>
+/** Tokens of the parts that a prompt shares with others: all parts but the last, which belongs to the request. */
+const sharedTokensOf = ({ parts }: PromptOutline): number =>
   parts.slice(0, -1).reduce((sum, { tokens }) => sum + tokens, 0);
 
-/** The home of a prompt that is worth one, by the last part that it shares; `salt` keeps customers apart. */
+/**
+ * The home target of a prompt: the one that rendezvous hashing assigns to its last shared part. Undefined when the
+ * prompt shares too few tokens. `salt` separates customers.
+ */
 export function homeOf(prompt: PromptOutline, salt: string, usable: readonly Target[]): Target | undefined {
   const last = prompt.parts.length < 2 ? undefined : prompt.parts.at(-2);
-  if (last === undefined || sharedTokens(prompt) < HOME_TOKENS) return undefined;
+  if (last === undefined || sharedTokensOf(prompt) < MIN_HOME_TOKENS) return undefined;
   const named = usable.map((target) => ({ name: target.id, capacity: target.capacity, target }));
   return homesOf(textKey(`${salt} ${prompt.model} ${last.id}`), named, 1)[0]?.target;
 }
 
 /**
- * What a target lacks of a prompt. While nobody tells where the parts are, the home is taken to have them; where nobody
- * has them, it is the place to read them, so that all read them in one place.
+ * Cost of a prompt at a target. When the location of the parts is unknown, the home target is assumed to have them.
+ * When no cache has them, they are read at the home target, so that all prompts that share them read them in one
+ * place.
  */
-export function lackOf(prompt: PromptOutline, view: PartsView, isHome: boolean): Lack {
-  const { place, cachedTokens, fetchMs = 0 } = view;
+export function prefillCostOf(
+  prompt: PromptOutline,
+  availability: PartsAvailability,
+  isHome: boolean,
+): PrefillCost {
+  const { location, cachedTokens, fetchMs = 0 } = availability;
   const own = prompt.parts.at(-1)?.tokens ?? prompt.promptTokens;
-  const shared = sharedTokens(prompt);
-  if (place === 'here' || (place === 'unknown' && isHome))
-    return { place, tokens: own, fetched: 0, penalty: 0, fetchMs: 0 };
+  const shared = sharedTokensOf(prompt);
+  if (location === 'here' || (location === 'unknown' && isHome))
+    return { location, tokens: own, fetched: 0, penalty: 0, fetchMs: 0 };
   const unread = shared - cachedTokens;
-  if (place === 'store')
-    return { place, tokens: own, fetched: unread, penalty: shared * FETCH_PART, fetchMs };
-  const penalty = isHome ? 0 : unread * READ_AGAIN_PART;
-  return { place, tokens: own + unread, fetched: 0, penalty, fetchMs: 0 };
+  if (location === 'store')
+    return { location, tokens: own, fetched: unread, penalty: shared * FETCH_COST_RATIO, fetchMs };
+  const penalty = isHome ? 0 : unread * REREAD_COST_RATIO;
+  return { location, tokens: own + unread, fetched: 0, penalty, fetchMs: 0 };
 }
--- a/packages/relay/src/placement/placement.spec.ts
+++ b/packages/relay/src/placement/placement.spec.ts
@@ -6,10 +6,10 @@
 import { createRandom } from '@jasmineroute/routing';
 import { beforeEach, describe, expect, it } from 'vitest';
 import { TargetSights } from '../target/index.js';
-import { Placements, drawService } from './placement.js';
+import { TargetSelector, drawService } from './placement.js';
 import type { Placement, PlacementInput } from './placement.js';
-import type { PartsPlace } from './lack.js';
-import { withWeights } from './weights.js';
+import type { PartsLocation } from './lack.js';
+import { eligibleByWeights } from './weights.js';
 
 const target = (id: string, version = 1, dataCentre = 'here'): Target => ({
   id,
@@ -27,19 +27,19 @@
 describe('placement', () => {
   let clock: ManualClock;
   let sights: TargetSights;
-  let placements: Placements;
+  let selector: TargetSelector;
 
   beforeEach(() => {
     clock = new ManualClock();
     sights = new TargetSights(clock);
-    placements = new Placements(sights, 'here', createRandom(1));
+    selector = new TargetSelector(sights, 'here', createRandom(1));
   });
 
   const choose = (
     candidates: readonly Target[],
     change: Partial<PlacementInput> = {},
   ): Placement | undefined =>
-    placements.choose({ service: 's', candidates, priority: 1, salt: '', objectiveMs: 400, ...change });
+    selector.choose({ service: 's', candidates, priority: 1, salt: '', objectiveMs: 400, ...change });
 
   const prompt = (shared: string, own: string, tokens = 1_000) => ({
     model: 'm',
@@ -51,13 +51,13 @@
   const home = (shared: string, own = 'own'): string | undefined =>
     choose(targets, { prompt: prompt(shared, own) })?.target.id;
 
-  it('keeps prompts with one shared part together, and others apart', () => {
+  it('sends prompts with the same shared part to one target, and spreads the others', () => {
     const homes = new Set(Array.from({ length: 20 }, (_, at) => home('one', `own-${at}`)));
     expect(homes.size).toBe(1);
     expect(new Set(Array.from({ length: 60 }, (_, at) => home(`part-${at}`))).size).toBe(5);
   });
 
-  it('gives a short prompt no home', () => {
+  it('assigns no home target to a short prompt', () => {
     const drawn = new Set(
       Array.from({ length: 40 }, () => {
         const short = prompt('short', 'own', 100);
@@ -67,10 +67,9 @@
     expect(drawn.size).toBeGreaterThan(1);
   });
 
-  it('leaves a home that has much to read, and comes back', () => {
-    // Symptom: a hot prompt's requests wait at one target while others idle.
-    // Sequence: many requests with one shared part come at once.
-    // Cause: its home took them however much it had to read.
+  it('avoids a home target with a long queue and returns to it afterwards', () => {
+    // If the home target took all requests with a popular shared part regardless of its queue, they would wait there
+    // while other targets are idle.
     const first = home('hot') ?? '';
     const open = Array.from({ length: 12 }, () => sights.began(first, 1_000));
     expect(home('hot')).not.toBe(first);
@@ -78,11 +77,10 @@
     expect(home('hot')).toBe(first);
   });
 
-  it('counts what there is to read, not requests', () => {
-    // Symptom: first tokens come after a second and more at some targets, while others idle.
-    // Sequence: prompts of 200 to 18,000 tokens; a target that has just loaded weights has no requests, and gets all
-    // that come; each is read whole there, as its cache is empty.
-    // Cause: the target with the fewest requests was taken for the one with the least work.
+  it('compares the tokens to be read, not the number of requests', () => {
+    // Choosing the target with the fewest requests delays first tokens by more than a second while other targets are
+    // idle: prompts have 200 to 18,000 tokens, and a target that has just loaded weights has no requests but must
+    // read every prompt in full, as its cache is empty.
     const [a, b] = [target('a'), target('b')];
     const chosen = () => choose([a, b], { prompt: prompt('short', 'own', 400) })?.target.id;
     sights.began('a', 18_000);
@@ -92,16 +90,16 @@
     expect(chosen()).toBe('a');
   });
 
-  it('goes where the shared parts are, and reads them at home when they are nowhere', () => {
-    // Symptom: shared parts are read again or fetched, though some target has them; the store's link is full.
-    // Sequence: caches turn over in two seconds; a home has a third of its parts, other targets have some of them.
-    // Cause: a home was taken to have what it once read.
+  it('prefers a target that has the shared parts, and the home target when no cache has them', () => {
+    // Caches turn over within two seconds, so the home target may have only a third of its parts while other targets
+    // have some of them. Assuming that it still has what it once read leads to needless reads and fetches that
+    // saturate the store's link.
     const candidates = [target('new', 2), target('old', 1)];
-    const chosen = (place: (one: Target) => PartsPlace) =>
+    const chosen = (place: (one: Target) => PartsLocation) =>
       Array.from({ length: 20 }, (_, at) =>
         choose(candidates, {
           prompt: prompt(`part-${at}`, 'own', 4_000),
-          partsAt: (one) => ({ place: place(one), cachedTokens: 0 }),
+          availabilityAt: (one) => ({ location: place(one), cachedTokens: 0 }),
         }),
       );
     const atOld = chosen(({ id }) => (id === 'old' ? 'here' : 'store'));
@@ -113,7 +111,7 @@
     }
   });
 
-  it('gives a slower target less', () => {
+  it('sends less work to a slower target', () => {
     for (let n = 0; n < 60; n += 1) {
       sights.pace.paused('a', 26);
       sights.pace.paused('b', 34);
@@ -127,7 +125,7 @@
     expect(chosen()?.slowness).toBeCloseTo(34 / 26, 1);
   });
 
-  it('forgets the work of an entry that tells nothing any more, and what was read', async () => {
+  it('drops the work of an entry that stopped reporting, and prompts that were read', async () => {
     sights.backlog.told('e2', [{ targetId: 'a', tokens: 500 }]);
     const open = sights.began('a', 300);
     expect(sights.backlog.tokensAt('a')).toBe(800);
@@ -139,10 +137,10 @@
     expect(sights.backlog.tokensAt('a')).toBe(0);
   });
 
-  it('leaves a target alone that refuses, for longer each time, until it serves', async () => {
-    // Symptom: most requests of some seconds are refused, while other targets have room.
-    // Sequence: an order to load weights was given up, and is carried out seconds later; the target refuses all at once.
-    // Cause: a target that refuses has no work, and the one with the least work gets the next request.
+  it('avoids a target that refuses requests, for longer each time, until it succeeds', async () => {
+    // A target that refuses requests has no work, so it looks least loaded and gets the next request. This happens
+    // when a cancelled order to load weights is carried out seconds later: most requests are refused although other
+    // targets have capacity.
     const chosen = (): string | undefined =>
       choose([target('a'), target('b')], { prompt: prompt('short', 'own', 400) })?.target.id;
     sights.began('b', 30_000);
@@ -161,7 +159,7 @@
     expect(chosen()).toBe('a');
   });
 
-  it('takes the least loaded for requests without a prompt, the nearest of equals', () => {
+  it('chooses the least loaded target for requests without a prompt, and the nearest of equals', () => {
     const far = targets.map(({ id }) => target(id, 1, 'there'));
     const near = target('near');
     const candidates = [...far, near];
@@ -170,7 +168,7 @@
     expect(choose(candidates)?.target.id).not.toBe('near');
   });
 
-  it('forgets told load with its age', async () => {
+  it('discounts reported load with age', async () => {
     sights.told('a', { running: 4, waiting: 0 });
     expect(sights.requestsAt('a')).toBe(4);
     await clock.advance(1_000);
@@ -179,16 +177,15 @@
     expect(sights.requestsAt('a')).toBe(0);
   });
 
-  it('finds a service overrun when each engine has as many requests as are in time, later for urgent ones', () => {
-    // Symptom: under a burst, nine of ten requests are late, though engines serve as many as they can.
-    // Sequence: more come than places; each engine queues them; all of them wait, the newest and the oldest.
-    // Cause: everything is taken in as long as a target does not refuse it.
+  it('reports overload when every engine is at its request limit, which is higher for urgent requests', () => {
+    // If requests are accepted until a target refuses them, a burst fills the queue of every engine, and nine of ten
+    // requests are late although the engines run at full throughput.
     const isOverrun = (priority: number, hasPrompt = true): boolean => {
       const own = hasPrompt ? prompt('one', 'own') : undefined;
       const input = { service: 's', candidates: targets, prompt: own, priority, salt: '', objectiveMs: 1e6 };
-      const placement = placements.choose(input);
+      const placement = selector.choose(input);
       if (placement === undefined) throw new Error('no target');
-      return placements.isOverrun(input, placement);
+      return selector.isOverloaded(input, placement);
     };
     const fill = (running: number): void => {
       for (const { id } of targets) sights.told(id, { running, waiting: 0 });
@@ -203,16 +200,16 @@
     expect(isOverrun(1, false)).toBe(false);
   });
 
-  it('finds a service overrun when prompts would wait too long behind others, whatever their own size', () => {
-    // Symptom: after new weights nearly all first tokens are late for seconds, with a fifth of the places taken.
-    // Sequence: all caches are empty; prompts of 9,000 tokens come faster than they are read; each waits behind all.
-    // Cause: requests that could not be in time any more were sent, and made the next ones late.
+  it('reports overload when prompts would wait too long behind others, whatever their own size', () => {
+    // After new weights all caches are empty, and prompts of 9,000 tokens arrive faster than they are read. Sending
+    // requests that can't be on time makes the next ones late too, for seconds, with only a fifth of the slots in
+    // use.
     const isOverrun = (priority: number, tokens: number): boolean => {
       const own = prompt('one', 'own', tokens);
       const input = { service: 's', candidates: targets, prompt: own, priority, salt: '', objectiveMs: 300 };
-      const placement = placements.choose(input);
+      const placement = selector.choose(input);
       if (placement === undefined) throw new Error('no target');
-      return placements.isOverrun(input, placement);
+      return selector.isOverloaded(input, placement);
     };
     const wait = (tokens: number): void => {
       for (const { id } of targets) sights.began(id, tokens);
@@ -227,7 +224,7 @@
     expect(isOverrun(0, 100)).toBe(true);
   });
 
-  it('expects a first token by what came before, and by the wait for what is fetched', async () => {
+  it('predicts the first token from earlier ones and the wait for the fetch', async () => {
     for (let n = 0; n < 200; n += 1) {
       const tokens = 1_000 + (n % 10) * 3_000;
       const open = sights.began('a', tokens, undefined, 's');
@@ -238,13 +235,13 @@
     const expected = (fetchMs: number): number | undefined =>
       choose([target('a')], {
         prompt: prompt('one', 'own', 4_000),
-        partsAt: () => ({ place: 'store', cachedTokens: 0, fetchMs }),
+        availabilityAt: () => ({ location: 'store', cachedTokens: 0, fetchMs }),
       })?.expectedMs;
     expect(Math.abs((expected(0) ?? 0) - 110)).toBeLessThan(10);
     expect((expected(250) ?? 0) - (expected(0) ?? 0)).toBe(250);
   });
 
-  it('avoids a target that failed, for longer with each failure, and uses it when all have', async () => {
+  it('avoids a target that failed, for longer with each failure, unless all targets failed', async () => {
     sights.failed('a');
     expect(sights.isAvoided('a')).toBe(true);
     await clock.advance(250);
@@ -256,10 +253,9 @@
     expect(choose(only)?.target.id).toBe('a');
   });
 
-  it('avoids a target that has gone quiet while it has requests', async () => {
-    // Symptom: requests hang until their deadline, one after the other.
-    // Sequence: a target's host goes dark; its connections stay open; heartbeats are missed seconds later.
-    // Cause: nothing but an error or a missed heartbeat counted against a target.
+  it('avoids a target with open requests that stopped sending', async () => {
+    // A host that loses its network leaves its connections open, and missed heartbeats are noticed only seconds
+    // later. Until then requests would hang to their deadline, one after the other.
     const open = sights.began('a');
     await clock.advance(800);
     expect(sights.isAvoided('a')).toBe(false);
@@ -289,31 +285,30 @@
     weights: [{ model: 'm', version: 2n, ageMs: 0 }],
   });
   knowledge.apply('c1', event, true);
-  const wish = { model: 'm', resumable: false, moving: false };
+  const request = { model: 'm', resumable: false, moving: false };
   let limitMs = 8_000;
   const ids = (candidates: readonly Target[], now: number, change = {}): string[] =>
-    withWeights(candidates, { ...wish, ...change }, knowledge, now, limitMs).map(({ id }) => id);
+    eligibleByWeights(candidates, { ...request, ...change }, knowledge, now, limitMs).map(({ id }) => id);
   const old = [target('a'), target('b'), target('c')];
   const fresh = [target('d', 2), target('e', 2), target('f', 2)];
 
-  it('are all used at first', () => {
+  it('are all used right after the new weights are named', () => {
     expect(ids([...old, ...fresh], 500)).toHaveLength(6);
   });
 
-  it('are left out with old weights once enough have the new ones', () => {
+  it('are excluded with old weights once enough targets have the new ones', () => {
     expect(ids([...old, ...fresh], 1_500)).toEqual(['d', 'e', 'f']);
     expect(ids([...old, target('d', 2)], 1_500)).toHaveLength(4);
   });
 
-  it('are left out with old weights for a stream that moves, as soon as any has the new ones', () => {
+  it('are excluded with old weights for a moving stream as soon as any target has the new ones', () => {
     const moving = { resumable: true, moving: true };
     expect(ids([...old, target('d', 2)], 100, moving)).toEqual(['d']);
   });
 
-  it('get long streams only when they have loaded or load last', () => {
-    // Symptom: a target that is to load takes no work for seconds.
-    // Sequence: streams leave the first targets that load; those that took them load next, and wait for their end.
-    // Cause: moved streams went to targets in any order, and may not move a second time.
+  it('get long streams only if they have loaded already or load last', () => {
+    // A stream can move only once. If moved streams go to a target that loads next, that target must wait for their
+    // end and takes no work for seconds.
     expect(ids(old, 100, { resumable: true })).toEqual(['b', 'c']);
     expect(ids([...old, target('d', 2)], 100, { resumable: true })).toEqual(['d', 'b', 'c']);
     expect(ids(old, 100, { resumable: true, moving: true })).toEqual(['b', 'c']);
@@ -321,17 +316,15 @@
   });
 
   it('serve nothing on weights that were replaced too long ago', () => {
-    // Symptom: requests begin on old weights longer than is agreed.
-    // Sequence: a rollout is held up; entries go on with the targets that are behind.
-    // Cause: old weights were better than a refusal, however old.
+    // When a rollout is delayed, entries must not keep using targets with old weights past the time limit.
     expect(ids(old, 7_000)).toEqual([]);
     expect(ids([...old, target('d', 2)], 7_000)).toEqual(['d']);
   });
 
-  it('serve as long as is agreed, however long that is', () => {
-    // Symptom: after new weights all requests go to the two targets that have them, and nearly all are late.
-    // Sequence: a rollout takes 9 s where 12 s are agreed; from 6.5 s on the others get nothing.
-    // Cause: what is agreed on one deployment was taken for all.
+  it('are used for as long as the configured limit allows', () => {
+    // The time limit differs between deployments. With a limit of 12 s and a rollout of 9 s, a limit fixed for
+    // another deployment sends all requests from 6.5 s on to the two targets with new weights, and nearly all are
+    // late.
     limitMs = 12_000;
     expect(ids(old, 7_000)).toEqual(['a', 'b', 'c']);
     expect(ids(old, 9_700)).toEqual([]);
--- a/packages/relay/src/placement/placement.ts
+++ b/packages/relay/src/placement/placement.ts
@@ -4,89 +4,94 @@
 import type { PromptOutline } from '../dialect/index.js';
 import type { Target } from '@jasmineroute/knowledge';
 import type { TargetSights } from '../target/index.js';
-import { UNKNOWN_PARTS, homeOf, lackOf } from './lack.js';
-import type { Lack, PartsPlace, PartsView } from './lack.js';
+import { UNKNOWN_AVAILABILITY, homeOf, prefillCostOf } from './lack.js';
+import type { PrefillCost, PartsLocation, PartsAvailability } from './lack.js';
 
-/** What each request costs that a target has already, tokens: it lengthens each step and holds a place. */
-const REQUEST_TOKENS = 200;
+/** Cost of each open request at a target, in tokens: it lengthens every engine step and occupies a slot. */
+const REQUEST_COST_TOKENS = 200;
 
-/** Costs that differ by less are taken for equal, and drawn, tokens: entries that know the same must not all choose one. */
-const EVEN_TOKENS = 150;
+/**
+ * Costs within this many tokens count as equal, and the target is drawn at random: entries with the same information
+ * must not all choose the same target.
+ */
+const COST_TOLERANCE_TOKENS = 150;
 
-/** Most that one target is taken to be slower than another: more is a fault, which other signs show. */
-const MOST_SLOWNESS = 3;
+/** Upper limit for the speed ratio between targets: a larger ratio indicates a fault, which other signals report. */
+const MAX_SLOWNESS = 3;
 
 /**
- * Part of an engine's places from which on it takes no more requests, for the most urgent and for others: beyond it they
- * wait for a place, and hold up all that come after.
+ * Fraction of an engine's slots above which it takes no more requests, for the most urgent requests and for others.
+ * Above it requests wait for a slot and delay all later ones.
  */
-const FULL_URGENT = 0.85;
-const FULL = 0.75;
+const MAX_OCCUPANCY_URGENT = 0.85;
+const MAX_OCCUPANCY = 0.75;
 
 /**
- * Part of its objective that a prompt may wait behind others to be read, for the most urgent and for others. What is sent
- * into a longer queue is late, and so is all that comes behind it; what is refused leaves the queue to what can be in time,
- * and comes back. Only the wait behind others counts, not the prompt's own size: a large one is not refused where a small
- * one is sent.
+ * Fraction of its latency objective that a prompt may spend waiting behind others, for the most urgent requests and
+ * for others. A request sent into a longer queue is late and delays everything behind it; a rejected request leaves
+ * the queue to those that can be on time, and is retried. Only the wait behind others counts, not the prompt's own
+ * size, so that a large prompt is not rejected where a small one is accepted.
  */
-const QUEUE_URGENT = 0.8;
-const QUEUE = 0.5;
+const MAX_QUEUE_RATIO_URGENT = 0.8;
+const MAX_QUEUE_RATIO = 0.5;
 
-/** Load that a target in another data centre seems to have more: the way there is short beside a request. */
-const DISTANCE_LOAD = 0.05;
+/**
+ * Load added to targets in another data centre. It is small, as the network latency is short compared with a request.
+ */
+const REMOTE_LOAD_PENALTY = 0.05;
 
-/** Load differences below this are taken for equal, and drawn. */
-const EVEN = 0.02;
+/** Loads within this difference count as equal, and the target is drawn at random. */
+const LOAD_TOLERANCE = 0.02;
 
-/** What a choice is made from. */
+/** Input of a placement decision. */
 export interface PlacementInput {
   readonly service: string;
   readonly candidates: readonly Target[];
   readonly prompt?: PromptOutline;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Text that keeps caches of customers apart. */
+  /** Separates the cache entries of customers. */
   readonly salt: string;
-  /** Time within which its first token should come, milliseconds. */
+  /** Latency objective for the first token, milliseconds. */
   readonly objectiveMs: number;
-  /** Where the shared parts are, as seen from a target. */
-  readonly partsAt?: (target: Target) => PartsView;
+  /** Availability of the prompt's shared parts for a target. */
+  readonly availabilityAt?: (target: Target) => PartsAvailability;
 }
 
-/** What was chosen and why, for the log. */
+/** The chosen target and the reason, for the log. */
 export interface Placement {
   readonly target: Target;
-  /** How it was chosen. */
+  /** Rule that chose the target. */
   readonly reason: 'home' | 'elsewhere' | 'least-work' | 'least-loaded';
   readonly candidates: number;
-  /** Tokens of this request's prompt that are to be read there. */
+  /** Tokens of this request's prompt that the target must read. */
   readonly tokens: number;
-  /** Tokens that it fetches from a store. */
+  /** Tokens that the target fetches from a store. */
   readonly fetched?: number;
-  /** Tokens of prompts that wait there already, and how much slower than the fastest the target is. */
+  /** Tokens of prompts already waiting at the target, and its slowness relative to the fastest target. */
   readonly waiting?: number;
   readonly slowness?: number;
-  readonly partsPlace?: PartsPlace;
-  /** When its first token will come, as it seems, and how long it waits behind others, milliseconds. */
+  readonly partsPlace?: PartsLocation;
+  /** Expected time to first token, and expected wait behind other prompts, milliseconds. */
   readonly expectedMs?: number;
   readonly queueMs?: number;
-  /** Requests that it probably has. */
+  /** Estimated number of requests at the target. */
   readonly load: number;
-  /** Age of the told load, milliseconds. */
+  /** Age of the reported load, milliseconds. */
   readonly loadAgeMs?: number;
 }
 
-/** What a target costs a prompt. */
+/** Cost of a prompt at one target. */
 interface Cost {
   readonly target: Target;
-  readonly lack: Lack;
+  readonly prefill: PrefillCost;
   readonly waiting: number;
   readonly slowness: number;
-  /** All of it, in tokens of the fastest target. */
+  /** Total cost, in tokens of the fastest target. */
   readonly total: number;
 }
 
-/** Draws a service of a route by weight. */
+/** Draws one of a route's services at random, by weight. */
 export function drawService({ services }: Route, random: Random): string {
   const sum = services.reduce((total, { weight }) => total + weight, 0);
   let left = random() * sum;
@@ -97,27 +102,32 @@
   return services.findLast(({ weight }) => weight > 0)?.service ?? '';
 }
 
-/** Chooses targets for one entry. */
-export class Placements {
+/** Selects targets for the requests of one entry. */
+export class TargetSelector {
   constructor(
     private readonly sights: TargetSights,
     private readonly dataCentre: string,
     private readonly random: Random,
   ) {}
 
-  /** Whether a prompt is better refused than sent where it was placed: it would be late, and make others late. */
-  isOverrun(
+  /**
+   * Whether to reject a prompt instead of sending it to the target that was chosen, because it would be late and
+   * would delay others.
+   */
+  isOverloaded(
     { candidates, prompt, priority, objectiveMs }: PlacementInput,
     { queueMs = 0 }: Placement,
   ): boolean {
     if (prompt === undefined || candidates.length === 0) return false;
     const isUrgent = priority === 0;
-    const taken = candidates.map(({ id, capacity }) => this.sights.requestsAt(id) / Math.max(1, capacity));
-    if (taken.every((one) => one >= (isUrgent ? FULL_URGENT : FULL))) return true;
-    return queueMs > objectiveMs * (isUrgent ? QUEUE_URGENT : QUEUE);
+    const occupancies = candidates.map(
+      ({ id, capacity }) => this.sights.requestsAt(id) / Math.max(1, capacity),
+    );
+    if (occupancies.every((one) => one >= (isUrgent ? MAX_OCCUPANCY_URGENT : MAX_OCCUPANCY))) return true;
+    return queueMs > objectiveMs * (isUrgent ? MAX_QUEUE_RATIO_URGENT : MAX_QUEUE_RATIO);
   }
 
-  /** The target for a request; undefined when there is none. */
+  /** Selects the target for a request; undefined if there is none. */
   choose(input: PlacementInput): Placement | undefined {
     const { candidates } = input;
     const healthy = candidates.filter(({ id }) => !this.sights.isAvoided(id));
@@ -129,9 +139,9 @@
   }
 
   /**
-   * The target that would have read the prompt first. Requests differ by a hundred times in what there is to read, so
-   * their number says little: a target that has just loaded weights, without requests and with an empty cache, would get all
-   * that come in a second.
+   * The target expected to finish reading the prompt first. Prompts differ in size by a factor of a hundred, so the
+   * number of requests says little: a target that has just loaded weights has no requests and an empty cache, and
+   * would get every request that arrives within a second.
    */
   private leastWork(input: PlacementInput, prompt: PromptOutline, usable: readonly Target[]): Placement {
     const home = homeOf(prompt, input.salt, usable);
@@ -139,48 +149,49 @@
       ...usable.map(({ id }) => this.sights.pace.pauseOf(id) ?? Number.POSITIVE_INFINITY),
     );
     const costs = usable.map((target) => {
-      const view = input.partsAt?.(target) ?? UNKNOWN_PARTS;
-      return this.costOf(target, lackOf(prompt, view, target === home), fastest);
+      const availability = input.availabilityAt?.(target) ?? UNKNOWN_AVAILABILITY;
+      return this.costOf(target, prefillCostOf(prompt, availability, target === home), fastest);
     });
     const least = Math.min(...costs.map(({ total }) => total));
-    const near = costs.filter(({ total }) => total <= least + EVEN_TOKENS);
-    const drawn = near.find(({ target }) => target === home) ?? near[Math.floor(this.random() * near.length)];
-    if (drawn === undefined) throw new Error('no candidate');
-    const { target, lack, waiting, slowness } = drawn;
-    const { place, tokens, fetched, fetchMs } = lack;
+    const cheapest = costs.filter(({ total }) => total <= least + COST_TOLERANCE_TOKENS);
+    const chosen =
+      cheapest.find(({ target }) => target === home) ?? cheapest[Math.floor(this.random() * cheapest.length)];
+    if (chosen === undefined) throw new Error('no candidate');
+    const { target, prefill, waiting, slowness } = chosen;
+    const { location, tokens, fetched, fetchMs } = prefill;
     const reason = home === undefined ? 'least-work' : target === home ? 'home' : 'elsewhere';
     const model = this.sights.firstTokens(input.service);
     const expectedMs = Math.round(model.predict(target.id, waiting + tokens) + fetchMs);
     const queueMs = Math.round(waiting * model.tokenMs(target.id));
-    const placed = this.placed(target, reason, usable.length);
-    return { ...placed, partsPlace: place, tokens, fetched, waiting, slowness, expectedMs, queueMs };
+    const base = this.placementAt(target, reason, usable.length);
+    return { ...base, partsPlace: location, tokens, fetched, waiting, slowness, expectedMs, queueMs };
   }
 
-  private costOf(target: Target, lack: Lack, fastestMs: number): Cost {
+  private costOf(target: Target, prefill: PrefillCost, fastestMs: number): Cost {
     const waiting = this.sights.backlog.tokensAt(target.id);
     const pauseMs = this.sights.pace.pauseOf(target.id) ?? fastestMs;
-    const slowness = Number.isFinite(pauseMs) ? Math.min(MOST_SLOWNESS, pauseMs / fastestMs) : 1;
-    const requests = this.sights.requestsAt(target.id) * REQUEST_TOKENS;
-    const total = (waiting + lack.tokens + requests) * slowness + lack.penalty;
-    return { target, lack, waiting, slowness, total };
+    const slowness = Number.isFinite(pauseMs) ? Math.min(MAX_SLOWNESS, pauseMs / fastestMs) : 1;
+    const requests = this.sights.requestsAt(target.id) * REQUEST_COST_TOKENS;
+    const total = (waiting + prefill.tokens + requests) * slowness + prefill.penalty;
+    return { target, prefill, waiting, slowness, total };
   }
 
   private leastLoaded(usable: readonly Target[]): Placement {
-    const costs = usable.map((target) => this.cost(target));
-    const least = Math.min(...costs);
-    const near = usable.filter((_target, index) => (costs[index] ?? least) <= least + EVEN);
-    const target = near[Math.floor(this.random() * near.length)] ?? usable[0];
+    const loads = usable.map((target) => this.loadOf(target));
+    const least = Math.min(...loads);
+    const lightest = usable.filter((_target, index) => (loads[index] ?? least) <= least + LOAD_TOLERANCE);
+    const target = lightest[Math.floor(this.random() * lightest.length)] ?? usable[0];
     if (target === undefined) throw new Error('no candidate');
-    return this.placed(target, 'least-loaded', usable.length);
+    return this.placementAt(target, 'least-loaded', usable.length);
   }
 
-  /** Requests for each place, with a little for distance. */
-  private cost({ id, capacity, dataCentre }: Target): number {
-    const distance = dataCentre === this.dataCentre ? 0 : DISTANCE_LOAD;
+  /** Requests per slot, plus a penalty for targets in another data centre. */
+  private loadOf({ id, capacity, dataCentre }: Target): number {
+    const distance = dataCentre === this.dataCentre ? 0 : REMOTE_LOAD_PENALTY;
     return this.sights.requestsAt(id) / Math.max(1, capacity) + distance;
   }
 
-  private placed(target: Target, reason: Placement['reason'], candidates: number): Placement {
+  private placementAt(target: Target, reason: Placement['reason'], candidates: number): Placement {
     const load = Math.round(this.sights.requestsAt(target.id) * 10) / 10;
     return { target, reason, candidates, tokens: 0, load, loadAgeMs: this.sights.ageOf(target.id) };
   }
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -10,7 +10,7 @@
 import { relayEvents } from './events.js';
 import { Follower, Knowledge } from '@jasmineroute/knowledge';
 import { relayMetrics } from './metrics.js';
-import { Placements } from './placement/index.js';
+import { TargetSelector } from './placement/index.js';
 import type { RelaySettings } from './setting/index.js';
 import { TargetPools, TargetSights, WorkReporter } from './target/index.js';
 import { RelayWork } from './work/index.js';
@@ -65,7 +65,7 @@
     this.work = {
       dialect,
       knowledge,
-      placements: new Placements(sights, dataCentre, random),
+      selector: new TargetSelector(sights, dataCentre, random),
       sights,
       pools: new TargetPools(),
       budgets: new ServiceBudgets(allowance, () => knowledge.entries()),
--- a/packages/relay/src/work/context.ts
+++ b/packages/relay/src/work/context.ts
@@ -5,7 +5,7 @@
 import type { Copies } from '../cache/index.js';
 import type { Dialect } from '../dialect/index.js';
 import type { Knowledge } from '@jasmineroute/knowledge';
-import type { Placements } from '../placement/index.js';
+import type { TargetSelector } from '../placement/index.js';
 import type { TargetPools, TargetSights } from '../target/index.js';
 import type { Learning } from './learning.js';
 import type { ServiceBudgets } from './serviceBudgets.js';
@@ -14,7 +14,7 @@
 export interface RelayContext {
   readonly dialect: Dialect;
   readonly knowledge: Knowledge;
-  readonly placements: Placements;
+  readonly selector: TargetSelector;
   readonly sights: TargetSights;
   readonly pools: TargetPools;
   readonly budgets: ServiceBudgets;
--- a/packages/relay/src/work/parts.ts
+++ b/packages/relay/src/work/parts.ts
@@ -4,8 +4,8 @@
 import type { StoredPart } from '@jasmineroute/protocol';
 import { fetchMs, isLinkBusy, linkWaitMs, sourceOf, storeFor, storesOf } from '../cache/index.js';
 import type { Holders, Source } from '../cache/index.js';
-import { UNKNOWN_PARTS } from '../placement/index.js';
-import type { PartsView } from '../placement/index.js';
+import { UNKNOWN_AVAILABILITY } from '../placement/index.js';
+import type { PartsAvailability } from '../placement/index.js';
 import type { Job } from './attempt.js';
 import type { RelayContext } from './context.js';
 
@@ -113,22 +113,22 @@
   job: Job,
   target: Target,
   store: StoreInForce | undefined,
-): PartsView {
+): PartsAvailability {
   const { knowledge } = context;
   const parts = sharedPartsAt(target, job);
   const last = parts.at(-1);
-  if (last === undefined) return UNKNOWN_PARTS;
+  if (last === undefined) return UNKNOWN_AVAILABILITY;
   const isCached = (part: StoredPart): boolean => knowledge.isCached(target.address, part);
   const cachedTokens = tokensUpTo(parts, isCached);
-  if (isCached(last)) return { place: 'here', cachedTokens };
-  if (store === undefined) return { place: 'nowhere', cachedTokens };
+  if (isCached(last)) return { location: 'here', cachedTokens };
+  if (store === undefined) return { location: 'nowhere', cachedTokens };
   const isKept = knowledge.isKept(store.address, last);
-  if (isKept === undefined) return { place: 'unknown', cachedTokens };
-  if (!isKept) return { place: 'nowhere', cachedTokens };
+  if (isKept === undefined) return { location: 'unknown', cachedTokens };
+  if (!isKept) return { location: 'nowhere', cachedTokens };
   const { tokenMs, waitMs } = linkOf(context, job, store);
   const unread = tokensUpTo(parts, () => true) - cachedTokens;
   const place = isLinkBusy(waitMs, job.route.objectiveMs) ? 'busy' : 'store';
-  return { place, cachedTokens, fetchMs: waitMs + unread * tokenMs };
+  return { location: place, cachedTokens, fetchMs: waitMs + unread * tokenMs };
 }
 
 /** Where a target fetches what it lacks of a request's shared parts; undefined: nowhere. */
--- a/packages/relay/src/work/relayWork.ts
+++ b/packages/relay/src/work/relayWork.ts
@@ -11,7 +11,7 @@
 import type { RelayRequest } from '../dialect/index.js';
 import { relayEvents } from '../events.js';
 import { relayMetrics } from '../metrics.js';
-import { drawService, withWeights } from '../placement/index.js';
+import { drawService, eligibleByWeights } from '../placement/index.js';
 import type { Placement, PlacementInput } from '../placement/index.js';
 import { additionFor } from './addition.js';
 import { admit } from './admit.js';
@@ -162,7 +162,7 @@
   }
 
   private async attempts(job: Job): Promise<void> {
-    const { budgets, log, metrics, placements, random, stalls } = this.context;
+    const { budgets, log, metrics, selector: placements, random, stalls } = this.context;
     const tried = new Set<string>();
     this.maxAttempts = job.route.resumable ? job.route.maxAttempts : 0;
     budgets.deposit(this.service);
@@ -180,7 +180,7 @@
         if (this.sends === 0 && (await this.learnsTarget(job, tried))) continue;
         break;
       }
-      if (this.sends === 0 && placements.isOverrun(input, placement)) {
+      if (this.sends === 0 && placements.isOverloaded(input, placement)) {
         const retryAfterMs = FULL_RETURN_MS * (0.5 + random());
         last = { state: 'fault', fault: fault('overloaded', overrunText(placement), { retryAfterMs }) };
         break;
@@ -275,7 +275,7 @@
       model === undefined
         ? undefined
         : { model, resumable: job.route.resumable, moving: this.stream.lastEventId !== undefined };
-    const fresh = withWeights(untried, wish, knowledge, clock.monotonic(), weightsLimitMs);
+    const fresh = eligibleByWeights(untried, wish, knowledge, clock.monotonic(), weightsLimitMs);
     const { prompt } = job.request;
     const store = storeInForce(this.context, job);
     return {
@@ -285,7 +285,7 @@
       priority: job.customer?.priority ?? job.route.priority,
       salt: saltOf(job),
       objectiveMs: job.route.objectiveMs,
-      partsAt: (target) => partsView(this.context, job, target, store),
+      availabilityAt: (target) => partsView(this.context, job, target, store),
     };
   }
 
