--- a/packages/relay/src/cache/copies.spec.ts
+++ b/packages/relay/src/cache/copies.spec.ts
@@ -1,6 +1,6 @@
 import { ManualClock } from '@jasmineroute/core';
 import { describe, expect, it } from 'vitest';
-import { Copies } from './copies.js';
+import { CopySchedule } from './copies.js';
 
 const STORE = '10.0.0.9:80';
 const part = (id: string, tokens: number) => ({ id, tokens });
@@ -13,19 +13,19 @@
 
 describe('copies to the store', () => {
   it('copies only what the store lacks', () => {
-    // Symptom: a seventh of the shared parts is read again, though there is a store with room for all of them.
-    // Sequence: eight entries, 36 requests a second over 177 shared parts; each entry copies a part every 8 s, with the
-    // request's own part, and the store turns over before a part is asked for again.
-    // Cause: no entry knew what the others had copied.
+    // Each entry used to copy a part every 8 s, along with the request's own part, without knowing what the others
+    // had copied. With eight entries and 36 requests a second over 177 shared parts, the store turned over before a
+    // part was requested again: a seventh of the shared parts were read again although the store had room for all of
+    // them.
     const kept = new Set(['old']);
-    const copies = new Copies(new ManualClock(), (_store, { part: id }) => kept.has(id));
-    expect(copies.isDue(STORE, prompt('old'), 's')).toBe(false);
-    expect(copies.isDue(STORE, prompt('new'), 's')).toBe(true);
+    const schedule = new CopySchedule(new ManualClock(), (_store, { part: id }) => kept.has(id));
+    expect(schedule.isDue(STORE, prompt('old'), 's')).toBe(false);
+    expect(schedule.isDue(STORE, prompt('new'), 's')).toBe(true);
   });
 
-  it('copies again what still does not show at the store', async () => {
+  it('repeats a copy that the store does not report', async () => {
     const clock = new ManualClock();
-    const copies = new Copies(clock, () => false);
+    const copies = new CopySchedule(clock, () => false);
     expect(copies.isDue(STORE, prompt('a'), 's')).toBe(true);
     await clock.advance(1_000);
     expect(copies.isDue(STORE, prompt('a'), 's')).toBe(false);
@@ -33,9 +33,9 @@
     expect(copies.isDue(STORE, prompt('a'), 's')).toBe(true);
   });
 
-  it('copies what it has not copied for a while when nobody tells what the store keeps', async () => {
+  it('copies a part at intervals while there is no report from the store', async () => {
     const clock = new ManualClock();
-    const copies = new Copies(clock, () => undefined);
+    const copies = new CopySchedule(clock, () => undefined);
     expect(copies.isDue(STORE, prompt('a'), 's')).toBe(true);
     await clock.advance(7_000);
     expect(copies.isDue(STORE, prompt('a'), 's')).toBe(false);
@@ -43,8 +43,8 @@
     expect(copies.isDue(STORE, prompt('a'), 's')).toBe(true);
   });
 
-  it('leaves prompts without shared parts alone', () => {
-    const copies = new Copies(new ManualClock(), () => false);
+  it('copies nothing for a prompt without shared parts', () => {
+    const copies = new CopySchedule(new ManualClock(), () => false);
     expect(copies.isDue(STORE, { ...prompt('a'), parts: [part('own', 10)] }, 's')).toBe(false);
   });
 });
--- a/packages/relay/src/cache/source.ts
+++ b/packages/relay/src/cache/source.ts
@@ -1,53 +1,56 @@
-/** Where a target fetches the shared parts of a prompt from that it lacks. */
+/** Selects the source from which a target fetches the shared parts of a prompt that it lacks. */
 
-/** Who has shared parts of a prompt. */
+/** A cache that has shared parts of a prompt. */
 export interface Holder {
   /** host:port. */
   readonly address: string;
-  /** Tokens of the shared parts that it has, from the first one on. */
+  /** Leading tokens of the shared parts that it has. */
   readonly tokens: number;
 }
 
-/** Who has what of one prompt, as seen from one target. */
-export interface Holders {
-  /** Tokens of the shared parts that the target itself has, from the first one on. */
-  readonly here: number;
-  /** Other targets that have some, the nearest first. */
+/** The caches that have shared parts of one prompt, for one target. */
+export interface PartHolders {
+  /** Leading tokens of the shared parts that the target itself has. */
+  readonly localTokens: number;
+  /** Other targets with some of the parts, the nearest first. */
   readonly neighbours: readonly Holder[];
-  /** The store, if there is one that answers; what nobody tells of it, it is taken to have. */
+  /** The store, if one is reachable. Parts that no report mentions count as stored. */
   readonly store?: Holder & { readonly isBusy: boolean };
 }
 
-/** Where a target fetches from. */
+/** The cache that a target fetches from. */
 export interface Source {
   /** host:port. */
   readonly address: string;
-  /** Tokens that it brings. */
+  /** Tokens that the fetch saves the target from reading. */
   readonly tokens: number;
-  /** It is the store, whose one link all targets share. */
+  /** Whether it is the store, whose single link is shared by all targets. */
   readonly isStore: boolean;
 }
 
-/** The neighbour that has most; of equals the nearest. */
-function bestOf(neighbours: readonly Holder[]): Holder | undefined {
+/** The neighbour with the most tokens; the nearest of equals. */
+function fullestOf(neighbours: readonly Holder[]): Holder | undefined {
   return neighbours.reduce<Holder | undefined>(
-    (best, one) => (one.tokens > (best?.tokens ?? 0) ? one : best),
+    (fullest, one) => (one.tokens > (fullest?.tokens ?? 0) ? one : fullest),
     undefined,
   );
 }
 
 /**
- * The source that spares the target most reading; undefined: none. A target waits for what it fetches before it reads, and
- * a store has one link for all. So a neighbour that has as much goes before the store, and a store whose link is busy is
- * not named: after a loss of all caches targets would wait longer for it than they need to read. A store whose link is free
- * is named also for what nobody knows it to have: a miss costs little, and what was just copied is not told yet.
+ * The source that saves the target the most reading; undefined if there is none. A target waits for its fetch before
+ * it reads, and all targets share the store's link. A neighbour that has as much is therefore preferred to the store,
+ * and a store with a busy link is not used: after a loss of all caches targets would wait longer for it than the read
+ * takes. A store with a free link is used even for parts that are not reported as stored: a miss costs little, and
+ * recent copies are not reported yet.
  */
-export function sourceOf({ here, neighbours, store }: Holders): Source | undefined {
-  const neighbour = bestOf(neighbours);
-  const near = neighbour?.tokens ?? 0;
-  const free = store === undefined || store.isBusy ? undefined : store;
-  if (neighbour !== undefined && near > here && near >= (free?.tokens ?? 0)) {
-    return { address: neighbour.address, tokens: near - here, isStore: false };
+export function sourceOf({ localTokens: here, neighbours, store }: PartHolders): Source | undefined {
+  const neighbour = fullestOf(neighbours);
+  const neighbourTokens = neighbour?.tokens ?? 0;
+  const freeStore = store === undefined || store.isBusy ? undefined : store;
+  if (neighbour !== undefined && neighbourTokens > here && neighbourTokens >= (freeStore?.tokens ?? 0)) {
+    return { address: neighbour.address, tokens: neighbourTokens - here, isStore: false };
   }
-  return free && { address: free.address, tokens: Math.max(0, free.tokens - here), isStore: true };
+  return (
+    freeStore && { address: freeStore.address, tokens: Math.max(0, freeStore.tokens - here), isStore: true }
+  );
 }
--- a/packages/relay/src/cache/storeLink.spec.ts
+++ b/packages/relay/src/cache/storeLink.spec.ts
@@ -2,7 +2,7 @@
 import { ManualClock } from '@jasmineroute/core';
 import { describe, expect, it } from 'vitest';
 import { TargetSights } from '../target/index.js';
-import { fetchMs, isLinkBusy, linkWaitMs } from './storeLink.js';
+import { tokenFetchMs, isLinkBusy, linkWaitMs } from './storeLink.js';
 
 const STORE = '10.0.0.9:80';
 const engine = { slots: 48, cacheTokens: 100_000, tokenBytes: 200_000, models: [] };
@@ -13,15 +13,14 @@
 const configuration: Configuration = { number: 1, routes: [], services, customers: [] };
 
 describe("a store's link", () => {
-  it('takes as long as its speed and the memory of a token say, over the distance', () => {
-    expect(fetchMs(configuration, { name: 's', engine }, STORE)).toBeCloseTo(0.008, 6);
+  it('takes the time that follows from its speed, the memory of a token and the distance', () => {
+    expect(tokenFetchMs(configuration, { name: 's', engine }, STORE)).toBeCloseTo(0.008, 6);
   });
 
-  it('is busy with what this entry and others have under way, and free when that was fetched', () => {
-    // Symptom: after an outage every first token comes after 1.6 s for seconds, at targets that have little to do.
-    // Sequence: all that waited comes at once; 70 prompts fetch 3,780 tokens each over one link; at usual load fetches
-    // take nine tenths of it, so the queue stays.
-    // Cause: fetching was taken to be free, however many did it.
+  it('is busy with the fetches of this entry and others, and free once they are done', () => {
+    // Fetches use nine tenths of the link at usual load. After an outage all waiting requests arrive at once, and 70
+    // prompts fetch 3,780 tokens each over one link. If fetches counted as free, the queue would not shrink, and
+    // every first token would come after 1.6 s for some seconds, at targets with little to do.
     const sights = new TargetSights(new ManualClock());
     const isBusy = (): boolean => isLinkBusy(linkWaitMs(sights.backlog, STORE, 0.008), 600);
     const open = Array.from({ length: 12 }, () => sights.began('t1', 100, { store: STORE, tokens: 4_000 }));
--- a/packages/relay/src/cache/stores.spec.ts
+++ b/packages/relay/src/cache/stores.spec.ts
@@ -15,11 +15,11 @@
 const storesNamed = (...names: readonly string[]): Store[] =>
   names.map((address) => ({ address, cacheTokens: 2_000_000 }));
 
-/** Tokens of subjects that were found in no store, as a part of all, while each that is missing is copied. */
-function shareMissed(stores: readonly Store[], subjects: number, requests: number): number {
-  const kept = new Map<string, LRUCache<string, number>>();
+/** Fraction of requests whose shared parts are missing from their store, while each missing prompt is copied. */
+function missRatio(stores: readonly Store[], subjects: number, requests: number): number {
+  const caches = new Map<string, LRUCache<string, number>>();
   for (const { address, cacheTokens } of stores) {
-    kept.set(address, new LRUCache({ maxSize: cacheTokens, sizeCalculation: (tokens: number) => tokens }));
+    caches.set(address, new LRUCache({ maxSize: cacheTokens, sizeCalculation: (tokens: number) => tokens }));
   }
   let state = 1;
   const draw = (): number => {
@@ -30,7 +30,7 @@
   const half = requests / 2;
   for (let at = 0; at < requests; at += 1) {
     const prompt = promptOf(Math.floor(draw() * subjects), `own-${at}`);
-    const cache = kept.get(storeFor(prompt, '', stores)?.address ?? '');
+    const cache = caches.get(storeFor(prompt, '', stores)?.address ?? '');
     const isMissing = prompt.parts.slice(0, -1).some(({ id }) => cache?.get(id) === undefined);
     if (!isMissing) continue;
     if (at >= half) missed += 1;
@@ -40,7 +40,7 @@
 }
 
 describe('the store for a prompt', () => {
-  it('is the same wherever it is looked for, whatever the order of the stores', () => {
+  it('is the same for every order of the stores', () => {
     const stores = storesNamed('a', 'b', 'c');
     const shuffled = fc.shuffledSubarray(stores, { minLength: 3 });
     fc.assert(
@@ -51,7 +51,7 @@
     );
   });
 
-  it('stays when another store is lost', () => {
+  it('does not change when another store is lost', () => {
     const stores = storesNamed('a', 'b', 'c');
     for (let subject = 0; subject < 200; subject += 1) {
       const before = storeFor(promptOf(subject), '', stores)?.address;
@@ -61,12 +61,12 @@
     }
   });
 
-  it('is none for a prompt that shares nothing, and where there is none', () => {
+  it('is undefined for a prompt without shared parts and without stores', () => {
     expect(storeFor({ ...promptOf(1), parts: [part('own', 10)] }, '', storesNamed('a'))).toBeUndefined();
     expect(storeFor(promptOf(1), '', [])).toBeUndefined();
   });
 
-  it('takes the room that the configuration names, and the same for those without', () => {
+  it('has the configured capacity, or the same default as others', () => {
     const services = [
       { name: 's' },
       { name: 'x', storeAddress: 'a', cacheTokens: 5 },
@@ -79,13 +79,13 @@
     ]);
   });
 
-  it('leaves few parts to be read again where the stores together have room for what is shared', () => {
-    // Pattern: 1,000 subjects of 3,780 tokens, asked for at random, each copied with 2,890 tokens of its own when it is
-    // missing; stores of 2 million tokens that drop what was used least recently. One store turns over before a subject
-    // comes again, so most is missing and copied, which turns it over. Grounds of the bounds: in this simulation 0.67 of
-    // them are missing with one store, 0.14 with two and none with three. A part that is missing is read again, and
-    // delays all that waits behind it.
-    expect(shareMissed(storesNamed('a'), 1_000, 20_000)).toBeGreaterThan(0.6);
-    expect(shareMissed(storesNamed('a', 'b', 'c'), 1_000, 20_000)).toBeLessThan(0.05);
+  it('rarely misses shared parts when all stores together have room for them', () => {
+    // 1,000 subjects of 3,780 tokens are requested at random; each is copied with 2,890 tokens of its own when it is
+    // missing. The stores hold 2 million tokens and evict the least recently used parts. A single store turns over
+    // before a subject is requested again, so most are missing and copied, which turns it over. Bounds: this
+    // simulation finds 0.67 of them missing with one store, 0.14 with two and none with three. A missing part is read
+    // again and delays everything behind it.
+    expect(missRatio(storesNamed('a'), 1_000, 20_000)).toBeGreaterThan(0.6);
+    expect(missRatio(storesNamed('a', 'b', 'c'), 1_000, 20_000)).toBeLessThan(0.05);
   });
 });
--- a/packages/relay/src/cache/stores.ts
+++ b/packages/relay/src/cache/stores.ts
@@ -1,34 +1,35 @@
-/** Which store of kept KV cache has a prompt's shared parts. */
+/** Assigns a prompt's shared parts to one of the KV cache stores. */
 import type { Configuration } from '@jasmineroute/configuration';
 import { homesOf, textKey } from '@jasmineroute/routing';
 import type { PromptOutline } from '../dialect/index.js';
 
-/** A store that a configuration names. */
+/** A store that the configuration names. */
 export interface Store {
   /** host:port. */
   readonly address: string;
-  /** Tokens that it has room for; where the configuration does not say, all count as equal. */
+  /** Capacity in tokens; equal for all stores without a configured capacity. */
   readonly cacheTokens: number;
 }
 
-/** Room that a store counts with for which the configuration names none, tokens. */
-const DEFAULT_CACHE_TOKENS = 1_000_000;
+/** Capacity of a store without a configured one, tokens. */
+const DEFAULT_STORE_TOKENS = 1_000_000;
 
-/** The stores that a configuration names. */
+/** The stores that the configuration names. */
 export function storesOf({ services }: Configuration): Store[] {
-  return services.flatMap(({ storeAddress: address, cacheTokens = DEFAULT_CACHE_TOKENS }) =>
+  return services.flatMap(({ storeAddress: address, cacheTokens = DEFAULT_STORE_TOKENS }) =>
     address === undefined ? [] : [{ address, cacheTokens }],
   );
 }
 
 /**
- * The store for a prompt, of those that answer: by rendezvous hashing of the last part that it shares, so that all entries
- * name the same and the loss of a store moves only its own prompts. With one store for all, what came in turned it over
- * before a part was asked for again: every prompt missed and was copied again. `salt` keeps customers apart.
+ * The store for a prompt, among those that are reachable. Rendezvous hashing of the last shared part lets all entries
+ * choose the same store, and the loss of a store moves only the prompts assigned to it. With a single store for all
+ * prompts, new parts evicted the older ones before they were requested again, so every prompt missed and was copied
+ * again. `salt` separates customers.
  */
 export function storeFor(prompt: PromptOutline, salt: string, stores: readonly Store[]): Store | undefined {
   const last = prompt.parts.at(-2);
   if (last === undefined) return undefined;
-  const named = stores.map((store) => ({ name: store.address, capacity: store.cacheTokens, store }));
-  return homesOf(textKey(`${salt} ${prompt.model} ${last.id}`), named, 1)[0]?.store;
+  const nodes = stores.map((store) => ({ name: store.address, capacity: store.cacheTokens, store }));
+  return homesOf(textKey(`${salt} ${prompt.model} ${last.id}`), nodes, 1)[0]?.store;
 }
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -5,7 +5,7 @@
 import type { Readiness, RoleContext, RoleProcess } from '@jasmineroute/protocol';
 import { createRandom } from '@jasmineroute/routing';
 import { CallerAnswer } from './answer/index.js';
-import { Copies } from './cache/index.js';
+import { CopySchedule } from './cache/index.js';
 import type { Dialect } from './dialect/index.js';
 import { relayEvents } from './events.js';
 import { Follower, Knowledge } from '@jasmineroute/knowledge';
@@ -69,7 +69,7 @@
       sights,
       pools: new TargetPools(),
       budgets: new ServiceBudgets(allowance, () => knowledge.entries()),
-      copies: new Copies(clock, (store, part) => knowledge.isKept(store, part)),
+      copySchedule: new CopySchedule(clock, (store, part) => knowledge.isKept(store, part)),
       learning: new Learning(knowledge, clock),
       stopsAt: () => this.stopsAt,
       weightsLimitMs: settings.weightsLimitMs,
--- a/packages/relay/src/work/addition.ts
+++ b/packages/relay/src/work/addition.ts
@@ -42,5 +42,5 @@
   const { prompt } = job.request;
   const store = storeInForce(context, job);
   if (cacheSalt === undefined || prompt === undefined || store === undefined) return undefined;
-  return context.copies.isDue(store.address, prompt, cacheSalt) ? store.address : undefined;
+  return context.copySchedule.isDue(store.address, prompt, cacheSalt) ? store.address : undefined;
 }
--- a/packages/relay/src/work/context.ts
+++ b/packages/relay/src/work/context.ts
@@ -2,7 +2,7 @@
 import type { Clock, Log, Metrics, StallWatch } from '@jasmineroute/core';
 import type { BodyBudget } from '@jasmineroute/entry';
 import type { Random } from '@jasmineroute/routing';
-import type { Copies } from '../cache/index.js';
+import type { CopySchedule } from '../cache/index.js';
 import type { Dialect } from '../dialect/index.js';
 import type { Knowledge } from '@jasmineroute/knowledge';
 import type { TargetSelector } from '../placement/index.js';
@@ -18,7 +18,7 @@
   readonly sights: TargetSights;
   readonly pools: TargetPools;
   readonly budgets: ServiceBudgets;
-  readonly copies: Copies;
+  readonly copySchedule: CopySchedule;
   readonly learning: Learning;
   /** Monotonic time at which a planned stop is over; undefined: none has begun. */
   readonly stopsAt: () => number | undefined;
--- a/packages/relay/src/work/parts.ts
+++ b/packages/relay/src/work/parts.ts
@@ -2,8 +2,8 @@
 import type { Configuration } from '@jasmineroute/configuration';
 import type { Target } from '@jasmineroute/knowledge';
 import type { StoredPart } from '@jasmineroute/protocol';
-import { fetchMs, isLinkBusy, linkWaitMs, sourceOf, storeFor, storesOf } from '../cache/index.js';
-import type { Holders, Source } from '../cache/index.js';
+import { tokenFetchMs, isLinkBusy, linkWaitMs, sourceOf, storeFor, storesOf } from '../cache/index.js';
+import type { PartHolders, Source } from '../cache/index.js';
 import { UNKNOWN_AVAILABILITY } from '../placement/index.js';
 import type { PartsAvailability } from '../placement/index.js';
 import type { Job } from './attempt.js';
@@ -69,7 +69,7 @@
 }
 
 /** Who has the shared parts of a request, as seen from one target. */
-function holdersFor(context: RelayContext, job: Job, target: Target): Holders {
+function holdersFor(context: RelayContext, job: Job, target: Target): PartHolders {
   const { knowledge, sights } = context;
   const parts = sharedPartsAt(target, job);
   const tokensAt = (address: string): number =>
@@ -83,11 +83,11 @@
   const neighbours = [...others]
     .sort((a, b) => isNear(b) - isNear(a))
     .map(({ address }) => ({ address, tokens: tokensAt(address) }));
-  return { here: tokensAt(target.address), neighbours, store: storeHolder(context, job, parts) };
+  return { localTokens: tokensAt(target.address), neighbours, store: storeHolder(context, job, parts) };
 }
 
 /** What the store has of some parts; undefined when there is none that answers. */
-function storeHolder(context: RelayContext, job: Job, parts: readonly SharedPart[]): Holders['store'] {
+function storeHolder(context: RelayContext, job: Job, parts: readonly SharedPart[]): PartHolders['store'] {
   const { knowledge } = context;
   const store = storeInForce(context, job);
   if (store === undefined) return undefined;
@@ -103,7 +103,7 @@
   { service }: Job,
   { address, configuration }: StoreInForce,
 ): { readonly tokenMs: number; readonly waitMs: number } {
-  const tokenMs = fetchMs(configuration, service, address);
+  const tokenMs = tokenFetchMs(configuration, service, address);
   return { tokenMs, waitMs: linkWaitMs(sights.backlog, address, tokenMs) };
 }
 
