--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -13,9 +13,9 @@
 import { TargetSelector } from './placement/index.js';
 import type { RelaySettings } from './setting/index.js';
 import { TargetPools, TargetSights, WorkReporter } from './target/index.js';
-import { RelayWork } from './work/index.js';
+import { RequestHandler } from './work/index.js';
 import type { RelayContext } from './work/index.js';
-import { Learning } from './work/learning.js';
+import { StartupGrace } from './work/learning.js';
 import { ServiceBudgets } from './work/serviceBudgets.js';
 
 /** Bounds of callers until a configuration names others. */
@@ -70,10 +70,10 @@
       pools: new TargetPools(),
       budgets: new ServiceBudgets(allowance, () => knowledge.entries()),
       copySchedule: new CopySchedule(clock, (store, part) => knowledge.isKept(store, part)),
-      learning: new Learning(knowledge, clock),
+      startupGrace: new StartupGrace(knowledge, clock),
       stopsAt: () => this.stopsAt,
       weightsLimitMs: settings.weightsLimitMs,
-      bodies: new BodyBudget(settings.maxBufferedBytes),
+      bodyBudget: new BodyBudget(settings.maxBufferedBytes),
       random,
       clock,
       stalls,
@@ -183,7 +183,7 @@
     const answer = new CallerAnswer(outgoing, dialect, clock, stalls);
     this.open += 1;
     try {
-      await new RelayWork(this.work, incoming, answer).run();
+      await new RequestHandler(this.work, incoming, answer).run();
     } catch (cause) {
       const stack = cause instanceof Error ? cause.stack : undefined;
       log.event(relayEvents.unexpected, { error: String(cause), stack });
--- a/packages/relay/src/work/admit.ts
+++ b/packages/relay/src/work/admit.ts
@@ -1,4 +1,4 @@
-/** Which route a request takes, and for which customer. */
+/** Finds the route and the customer of a request. */
 import type { Customer, Route, RoutingTable } from '@jasmineroute/configuration';
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
@@ -6,7 +6,7 @@
 import type { Result } from 'neverthrow';
 import type { RelayRequest } from '../dialect/index.js';
 
-/** What the configuration says of a request. */
+/** Route and customer of a request, according to the configuration. */
 export interface Admitted {
   readonly route: Route;
   readonly customer?: Customer;
@@ -18,6 +18,6 @@
   if (route === undefined) return err(fault('unknown-route', `no route for ${request.host}${request.path}`));
   const customer = request.key === undefined ? undefined : table.customerOf(request.key);
   const needsKey = table.needsKeys && !route.open;
-  if (needsKey && customer === undefined) return err(fault('unauthenticated', 'the key is not known'));
+  if (needsKey && customer === undefined) return err(fault('unauthenticated', 'unknown API key'));
   return ok({ route, customer });
 }
--- a/packages/relay/src/work/attempt.ts
+++ b/packages/relay/src/work/attempt.ts
@@ -1,4 +1,4 @@
-/** One sending of a request to one target, and what came of it. */
+/** Sends a request to one target and checks its answer. */
 import type { Customer, Route, Service } from '@jasmineroute/configuration';
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
@@ -12,18 +12,18 @@
 import { connectionShare } from '../target/index.js';
 import type { RelayContext } from './context.js';
 
-/** A request with everything that was found out about it. */
+/** A request with its route, service and customer. */
 export interface Job {
   readonly request: RelayRequest;
   readonly body: Uint8Array;
   readonly route: Route;
   readonly service: Service;
   readonly customer?: Customer;
-  /** Monotonic time at which the caller may be gone at the earliest: nothing begins after it. */
+  /** Earliest monotonic time at which the caller may stop waiting: no attempt starts after it. */
   readonly until: number;
 }
 
-/** A target's answer whose head fits the request. */
+/** A target's answer whose status and headers match the request. */
 export interface TargetAnswer {
   readonly wire: WireAnswer;
   readonly marks: AnswerMarks;
@@ -32,7 +32,7 @@
 const SUCCESS = 200;
 const REDIRECT = 300;
 
-/** Sends a request. The answer's body must be read to its end or abandoned. */
+/** Sends a request. The caller must read the answer's body to its end or abandon it. */
 export async function send(
   context: RelayContext,
   job: Job,
@@ -42,22 +42,22 @@
 ): Promise<Result<TargetAnswer, Fault>> {
   const { dialect, pools, knowledge, sights, clock, stalls } = context;
   const { request, service, body } = job;
-  const most = connectionShare(service.maxConnections, knowledge.entries());
+  const maxConnections = connectionShare(service.maxConnections, knowledge.entries());
   const { method, path } = request;
   const headers = dialect.targetHeaders(request, addition);
   const wireRequest = { method, path, headers, body };
-  const wire = await exchange(pools.of(target, most).pool(), wireRequest, clock, signal, stalls);
+  const wire = await exchange(pools.of(target, maxConnections).pool(), wireRequest, clock, signal, stalls);
   if (wire.isErr()) {
     const { kind } = wire.error;
     if (kind === 'target-unreachable' || kind === 'target-lost') sights.failed(target.id);
     return err(wire.error);
   }
   sights.heard(target.id);
-  return judged(context, request, target, wire.value);
+  return checkAnswer(context, request, target, wire.value);
 }
 
-/** Whether an answer belongs to the request, and whether it says that the request did not run. */
-function judged(
+/** Checks that an answer belongs to the request, and whether it states that the request did not run. */
+function checkAnswer(
   context: RelayContext,
   request: RelayRequest,
   target: Target,
@@ -66,31 +66,36 @@
   const { dialect, sights, knowledge } = context;
   const marks = dialect.readAnswer(wire.status, wire.headers);
   if (marks.load !== undefined) sights.told(target.id, marks.load);
-  const refuse = (problem: Fault): Result<TargetAnswer, Fault> => {
+  const reject = (problem: Fault): Result<TargetAnswer, Fault> => {
     wire.abandon();
     return err(problem);
   };
-  // An answer that came late, in the place of this request's, says nothing of this request.
+  // A late answer to an earlier request says nothing about this request.
   if (marks.requestId !== undefined && marks.requestId !== request.id) {
     sights.failed(target.id);
-    return refuse(fault('answer-mismatch', 'the target answered another request'));
+    return reject(fault('answer-mismatch', 'the target sent the answer to another request'));
   }
   if (marks.otherTargetName !== undefined && marks.otherTargetName !== target.name && marks.notRun) {
     knowledge.targets.replaced(target.id);
-    return refuse(fault('wrong-incarnation', `the address belongs to ${marks.otherTargetName} now`));
+    return reject(fault('wrong-incarnation', `the address now belongs to ${marks.otherTargetName}`));
   }
   if (marks.notRun) {
     sights.refused(target.id);
-    return refuse(fault('overloaded', `the target refused with ${wire.status}`));
+    return reject(fault('overloaded', `the target refused the request with status ${wire.status}`));
   }
   const isSuccess = wire.status >= SUCCESS && wire.status < REDIRECT;
   if (isSuccess && (marks.requestId === undefined || !marks.signed)) {
     sights.failed(target.id);
-    return refuse(fault('answer-mismatch', 'a success without id or signature'));
+    return reject(fault('answer-mismatch', 'successful answer without a request id or signature'));
   }
-  // The status would promise the caller what the target has not stated.
+  // This status would tell the caller that the request did not run, which the target has not stated.
   if (PROMISES.has(wire.status)) {
-    return refuse(fault('engine-failed', `${wire.status} without the statement that nothing ran`));
+    return reject(
+      fault(
+        'engine-failed',
+        `the target answered ${wire.status} without stating that the request did not run`,
+      ),
+    );
   }
   return ok({ wire, marks });
 }
--- a/packages/relay/src/work/context.ts
+++ b/packages/relay/src/work/context.ts
@@ -1,4 +1,4 @@
-/** What all requests of one relaying entry share. */
+/** State and services shared by all requests of one relay. */
 import type { Clock, Log, Metrics, StallWatch } from '@jasmineroute/core';
 import type { BodyBudget } from '@jasmineroute/entry';
 import type { Random } from '@jasmineroute/routing';
@@ -7,10 +7,10 @@
 import type { Knowledge } from '@jasmineroute/knowledge';
 import type { TargetSelector } from '../placement/index.js';
 import type { TargetPools, TargetSights } from '../target/index.js';
-import type { Learning } from './learning.js';
+import type { StartupGrace } from './learning.js';
 import type { ServiceBudgets } from './serviceBudgets.js';
 
-/** What all requests of one relaying entry share. */
+/** State and services shared by all requests of one relay. */
 export interface RelayContext {
   readonly dialect: Dialect;
   readonly knowledge: Knowledge;
@@ -19,12 +19,12 @@
   readonly pools: TargetPools;
   readonly budgets: ServiceBudgets;
   readonly copySchedule: CopySchedule;
-  readonly learning: Learning;
-  /** Monotonic time at which a planned stop is over; undefined: none has begun. */
+  readonly startupGrace: StartupGrace;
+  /** Monotonic time at which a planned stop ends; undefined if none has started. */
   readonly stopsAt: () => number | undefined;
-  /** Time after the naming of newer weights from which on nothing may begin on older ones, milliseconds. */
+  /** Time after newer weights are named from which no request may start on older ones, milliseconds. */
   readonly weightsLimitMs: number;
-  readonly bodies: BodyBudget;
+  readonly bodyBudget: BodyBudget;
   readonly random: Random;
   readonly clock: Clock;
   readonly stalls: StallWatch;
--- a/packages/relay/src/work/learning.spec.ts
+++ b/packages/relay/src/work/learning.spec.ts
@@ -3,10 +3,10 @@
 import { Knowledge } from '@jasmineroute/knowledge';
 import { controlMessage } from '@jasmineroute/protocol';
 import { beforeEach, describe, expect, it } from 'vitest';
-import { LEARN_MS, Learning } from './learning.js';
+import { STARTUP_GRACE_MS, StartupGrace } from './learning.js';
 
-/** Counts whole milliseconds for timers only, as the machine's does. */
-class WholeMsClock extends ManualClock {
+/** Truncates timer delays to whole milliseconds, as Node's timers do. */
+class WholeMillisecondClock extends ManualClock {
   override after(ms: number, action: () => void): () => void {
     return super.after(Math.floor(ms), action);
   }
@@ -15,19 +15,19 @@
 describe('an entry that has just started', () => {
   let clock: ManualClock;
   let knowledge: Knowledge;
-  let learning: Learning;
-  let ended: AbortController;
+  let grace: StartupGrace;
+  let caller: AbortController;
 
   beforeEach(() => {
     clock = new ManualClock();
     knowledge = new Knowledge(clock, silentLog);
-    learning = new Learning(knowledge, clock);
-    ended = new AbortController();
+    grace = new StartupGrace(knowledge, clock);
+    caller = new AbortController();
   });
 
   const isReady = (): boolean => knowledge.targets.ready('s').length > 0;
 
-  const hear = (): void => {
+  const announce = (): void => {
     const { READY } = controlMessage.Announcement;
     const target = create(controlMessage.AnnouncedTargetSchema, {
       id: 't1',
@@ -37,42 +37,40 @@
     knowledge.apply('c1', create(controlMessage.FollowEventSchema, { targets: [target] }), false);
   };
 
-  it('lets a request wait until a target is known', async () => {
-    // Symptom: after a loss of all instances a fifth of the callers of two seconds is refused for good.
-    // Sequence: entries listen before they know a target; callers come back to them, and have one retry each.
-    // Cause: what was not known yet was refused like what is not there.
+  it('holds a request until a target is known', async () => {
+    // After a loss of all instances, callers return to entries that listen before they know a target, with one retry
+    // left. Refusing them at once would turn away a fifth of the callers with a timeout of two seconds for good.
     let isKnown: boolean | undefined;
-    const waited = learning.until(isReady, ended.signal).then((known) => (isKnown = known));
+    const waited = grace.until(isReady, caller.signal).then((known) => (isKnown = known));
     await clock.advance(500);
     expect(isKnown).toBeUndefined();
-    hear();
+    announce();
     expect(await waited).toBe(true);
   });
 
-  it('refuses once the time to learn is over, and at once from then on', async () => {
-    const waited = learning.until(isReady, ended.signal);
-    await clock.advance(LEARN_MS);
+  it('stops waiting at the end of the grace period, and does not wait after it', async () => {
+    const waited = grace.until(isReady, caller.signal);
+    await clock.advance(STARTUP_GRACE_MS);
     expect(await waited).toBe(false);
-    expect(await learning.until(isReady, ended.signal)).toBe(false);
+    expect(await grace.until(isReady, caller.signal)).toBe(false);
   });
 
-  it('refuses once the time to learn is over by a timer that fires a moment early', async () => {
-    // Symptom: a request at an entry that has just started is never answered; a planned stop waits for it in vain.
-    // Sequence: control is out of reach; the timer of 1958.4 ms fires after 1958, as timers count whole milliseconds.
-    // Cause: what it called looked at the clock again, found that the time was not over, and had no other timer.
-    // Proved by: a log that ends with the wait, and an answer that never came, in two of three runs beside others.
-    clock = new WholeMsClock();
-    learning = new Learning(knowledge, clock);
+  it('stops waiting at the end of the grace period when its timer fires early', async () => {
+    // Timers count whole milliseconds, so a timer of 1958.4 ms fires after 1958 ms. If its callback checked the clock
+    // again, it would find that the time is not over, and without another timer the request would never be answered,
+    // and a planned stop would wait for it in vain.
+    clock = new WholeMillisecondClock();
+    grace = new StartupGrace(knowledge, clock);
     await clock.advance(41.6);
     let isKnown: boolean | undefined;
-    void learning.until(isReady, ended.signal).then((known) => (isKnown = known));
-    await clock.advance(LEARN_MS);
+    void grace.until(isReady, caller.signal).then((known) => (isKnown = known));
+    await clock.advance(STARTUP_GRACE_MS);
     expect(isKnown).toBe(false);
   });
 
-  it('keeps nobody waiting who has left', async () => {
-    const waited = learning.until(isReady, ended.signal);
-    ended.abort();
+  it('stops waiting when the caller leaves', async () => {
+    const waited = grace.until(isReady, caller.signal);
+    caller.abort();
     expect(await waited).toBe(false);
   });
 });
--- a/packages/relay/src/work/learning.ts
+++ b/packages/relay/src/work/learning.ts
@@ -1,18 +1,18 @@
-/** Lets requests wait that come before an entry which has just started knows where they go. */
+/** Holds requests that arrive before a newly started entry knows the configuration and its targets. */
 import type { Clock } from '@jasmineroute/core';
 import type { Knowledge } from '@jasmineroute/knowledge';
 
 /**
- * Time from its start in which an entry learns of the configuration and of targets, milliseconds: control instances that
- * start at the same moment have to answer first, and each target calls one of them within a heartbeat.
+ * Time after start within which an entry receives its configuration and targets, milliseconds: control instances that
+ * start at the same moment have to answer first, and each target contacts one of them within a heartbeat interval.
  */
-export const LEARN_MS = 2_000;
+export const STARTUP_GRACE_MS = 2_000;
 
 /**
- * When all instances are lost at once, callers return to the first entry that listens, before it knows a target. Refused,
- * they use up their last retry. Later than that a lack of targets is a fact, and refused at once.
+ * After a loss of all instances, callers return to the first entry that listens, before it knows a target. A refusal
+ * would use up their last retry. After the grace period missing targets are real, and requests are refused at once.
  */
-export class Learning {
+export class StartupGrace {
   private readonly endsAt: number;
   private readonly waiting = new Set<() => void>();
 
@@ -20,39 +20,40 @@
     knowledge: Knowledge,
     private readonly clock: Clock,
   ) {
-    this.endsAt = clock.monotonic() + LEARN_MS;
+    this.endsAt = clock.monotonic() + STARTUP_GRACE_MS;
     knowledge.onNews(() => {
-      for (const look of this.waiting) look();
+      for (const check of this.waiting) check();
     });
   }
 
   /**
-   * Waits until something is known, at most until the time to learn is over; `onWait` hears when it is not known at once.
-   * @returns whether it is known.
+   * Waits until a condition is met, at most to the end of the grace period; `onWait` is called if it is not met at
+   * once.
+   * @returns whether the condition is met.
    */
   async until(
-    isKnown: () => boolean,
+    isMet: () => boolean,
     signal: AbortSignal,
-    onWait: (leftMs: number) => void = () => undefined,
+    onWait: (remainingMs: number) => void = () => undefined,
   ): Promise<boolean> {
-    const leftMs = this.endsAt - this.clock.monotonic();
-    if (isKnown() || leftMs <= 0 || signal.aborted) return isKnown();
-    onWait(leftMs);
+    const remainingMs = this.endsAt - this.clock.monotonic();
+    if (isMet() || remainingMs <= 0 || signal.aborted) return isMet();
+    onWait(remainingMs);
     await new Promise<void>((resolve) => {
       const end = (): void => {
-        calledOff();
-        this.waiting.delete(look);
+        cancelTimer();
+        this.waiting.delete(check);
         signal.removeEventListener('abort', end);
         resolve();
       };
-      const look = (): void => {
-        if (isKnown()) end();
+      const check = (): void => {
+        if (isMet()) end();
       };
-      // The timer ends the wait by itself: it may fire a fraction of a millisecond before the clock says so.
-      const calledOff = this.clock.after(leftMs, end);
-      this.waiting.add(look);
+      // The timer ends the wait without checking the clock, as it may fire a fraction of a millisecond early.
+      const cancelTimer = this.clock.after(remainingMs, end);
+      this.waiting.add(check);
       signal.addEventListener('abort', end);
     });
-    return isKnown();
+    return isMet();
   }
 }
--- a/packages/relay/src/work/parts.ts
+++ b/packages/relay/src/work/parts.ts
@@ -1,4 +1,4 @@
-/** Where the shared parts of a request's prompt are, and under which text they are found. */
+/** Locates the shared parts of a request's prompt, and builds the cache salt under which they are stored. */
 import type { Configuration } from '@jasmineroute/configuration';
 import type { Target } from '@jasmineroute/knowledge';
 import type { StoredPart } from '@jasmineroute/protocol';
@@ -9,44 +9,47 @@
 import type { Job } from './attempt.js';
 import type { RelayContext } from './context.js';
 
-/** A store of kept KV cache. */
-export interface StoreInForce {
+/** The KV cache store that a prompt's shared parts are assigned to. */
+export interface AssignedStore {
   /** host:port. */
   readonly address: string;
   readonly configuration: Configuration;
 }
 
-/** Keeps cached blocks apart of a customer that shares with nobody. */
-export function saltOf({ customer }: Job): string {
+/** Separates the cached blocks of an isolated customer from those of others. */
+export function customerSalt({ customer }: Job): string {
   return customer?.isolated === true ? `customer-${customer.name} ` : '';
 }
 
 /**
- * Version of the weights that a target announced. The request names it, so that a target whose weights changed since
- * refuses rather than run it on cache of other weights.
+ * Version of the weights that a target announced. The request includes it, so that a target whose weights have
+ * changed since refuses the request instead of running it on cache entries of other weights.
  */
-export function versionAt(target: Target, { request, route }: Job): number | undefined {
+export function weightsVersionAt(target: Target, { request, route }: Job): number | undefined {
   return route.hasPrompt && request.prompt !== undefined
     ? target.weights.get(request.prompt.model)
     : undefined;
 }
 
-/** Text under which a target finds cached blocks for a request: its weights, and a customer that shares with nobody. */
+/** Salt of a request's cached blocks at a target: the version of the weights, and the customer if it is isolated. */
 export function cacheSaltAt(target: Target, job: Job): string {
-  return `${saltOf(job)}weights-${versionAt(target, job) ?? 0}`;
+  return `${customerSalt(job)}weights-${weightsVersionAt(target, job) ?? 0}`;
 }
 
-/** The store for a request's shared parts, of those that answer; undefined: there is none, or it shares nothing. */
-export function storeInForce({ knowledge }: RelayContext, job: Job): StoreInForce | undefined {
+/**
+ * The store for a request's shared parts, among those that are reachable; undefined if there is none, or if the
+ * prompt has no shared parts.
+ */
+export function assignedStore({ knowledge }: RelayContext, job: Job): AssignedStore | undefined {
   const configuration = knowledge.table()?.configuration;
   const { prompt } = job.request;
   if (configuration === undefined || prompt === undefined) return undefined;
   const stores = storesOf(configuration).filter(({ address }) => !knowledge.isStoreLost(address));
-  const store = storeFor(prompt, saltOf(job), stores);
+  const store = storeFor(prompt, customerSalt(job), stores);
   return store && { address: store.address, configuration };
 }
 
-/** A part that a prompt shares with others, as a target would have it. */
+/** A part that a prompt shares with others, with the salt that it has at a target. */
 type SharedPart = StoredPart & { readonly tokens: number };
 
 /** The shared parts of a prompt: all but the last, which is its own. */
@@ -59,79 +62,82 @@
 }
 
 /**
- * Tokens of the parts up to the last that `has` confirms. A cache finds a part only with all before it, and drops what was
- * used least recently, so whoever has a part has those before it. What nobody told says nothing: after a restart of
- * control only the newest few thousand events of a cache are known, and the parts that all prompts begin with came before.
+ * Tokens of the parts up to the last one that `has` confirms. A cache finds a part only together with all parts
+ * before it and evicts the least recently used, so a cache that has a part has all parts before it. Missing reports
+ * prove nothing: after a restart of control only the latest few thousand cache events are known, and the parts that
+ * all prompts begin with are older.
  */
-function tokensUpTo(parts: readonly SharedPart[], has: (part: StoredPart) => boolean): number {
+function leadingTokens(parts: readonly SharedPart[], has: (part: StoredPart) => boolean): number {
   const end = parts.findLastIndex((part) => has(part));
   return parts.slice(0, end + 1).reduce((sum, { tokens }) => sum + tokens, 0);
 }
 
-/** Who has the shared parts of a request, as seen from one target. */
-function holdersFor(context: RelayContext, job: Job, target: Target): PartHolders {
+/** The caches that have the shared parts of a request, for one target. */
+function partHoldersFor(context: RelayContext, job: Job, target: Target): PartHolders {
   const { knowledge, sights } = context;
   const parts = sharedPartsAt(target, job);
   const tokensAt = (address: string): number =>
-    tokensUpTo(parts, (part) => knowledge.isCached(address, part));
-  // Only with the same weights: what a target made under others may stand under the same salt.
-  const version = versionAt(target, job);
-  const others = knowledge.targets
+    leadingTokens(parts, (part) => knowledge.isCached(address, part));
+  // Only targets with the same weights: blocks made under other weights may be stored under the same salt.
+  const version = weightsVersionAt(target, job);
+  const neighbourTargets = knowledge.targets
     .ready(job.service.name)
-    .filter((one) => one.id !== target.id && versionAt(one, job) === version && !sights.isAvoided(one.id));
+    .filter(
+      (one) => one.id !== target.id && weightsVersionAt(one, job) === version && !sights.isAvoided(one.id),
+    );
   const isNear = ({ dataCentre }: Target): number => Number(dataCentre === target.dataCentre);
-  const neighbours = [...others]
+  const neighbours = [...neighbourTargets]
     .sort((a, b) => isNear(b) - isNear(a))
     .map(({ address }) => ({ address, tokens: tokensAt(address) }));
-  return { localTokens: tokensAt(target.address), neighbours, store: storeHolder(context, job, parts) };
+  return { localTokens: tokensAt(target.address), neighbours, store: storeAsHolder(context, job, parts) };
 }
 
-/** What the store has of some parts; undefined when there is none that answers. */
-function storeHolder(context: RelayContext, job: Job, parts: readonly SharedPart[]): PartHolders['store'] {
+/** The parts that the store has; undefined if no store is reachable. */
+function storeAsHolder(context: RelayContext, job: Job, parts: readonly SharedPart[]): PartHolders['store'] {
   const { knowledge } = context;
-  const store = storeInForce(context, job);
+  const store = assignedStore(context, job);
   if (store === undefined) return undefined;
   const { address } = store;
-  const tokens = tokensUpTo(parts, (part) => knowledge.isKept(address, part) !== false);
-  const { waitMs } = linkOf(context, job, store);
+  const tokens = leadingTokens(parts, (part) => knowledge.isKept(address, part) !== false);
+  const { waitMs } = linkLoadOf(context, job, store);
   return { address, tokens, isBusy: isLinkBusy(waitMs, job.route.objectiveMs) };
 }
 
-/** A store's link: the time for one token, and for all that waits there, milliseconds. */
-function linkOf(
+/** Load of a store's link: the time to transfer one token and to finish all pending fetches, milliseconds. */
+function linkLoadOf(
   { sights }: RelayContext,
   { service }: Job,
-  { address, configuration }: StoreInForce,
+  { address, configuration }: AssignedStore,
 ): { readonly tokenMs: number; readonly waitMs: number } {
   const tokenMs = tokenFetchMs(configuration, service, address);
   return { tokenMs, waitMs: linkWaitMs(sights.backlog, address, tokenMs) };
 }
 
-/** Where the shared parts of a request are, as seen from one target; `store`: the one for the request. */
-export function partsView(
+/** Availability of a request's shared parts for one target; `store` is the store assigned to the request. */
+export function partsAvailability(
   context: RelayContext,
   job: Job,
   target: Target,
-  store: StoreInForce | undefined,
+  store: AssignedStore | undefined,
 ): PartsAvailability {
   const { knowledge } = context;
   const parts = sharedPartsAt(target, job);
   const last = parts.at(-1);
   if (last === undefined) return UNKNOWN_AVAILABILITY;
   const isCached = (part: StoredPart): boolean => knowledge.isCached(target.address, part);
-  const cachedTokens = tokensUpTo(parts, isCached);
+  const cachedTokens = leadingTokens(parts, isCached);
   if (isCached(last)) return { location: 'here', cachedTokens };
   if (store === undefined) return { location: 'nowhere', cachedTokens };
   const isKept = knowledge.isKept(store.address, last);
   if (isKept === undefined) return { location: 'unknown', cachedTokens };
   if (!isKept) return { location: 'nowhere', cachedTokens };
-  const { tokenMs, waitMs } = linkOf(context, job, store);
-  const unread = tokensUpTo(parts, () => true) - cachedTokens;
+  const { tokenMs, waitMs } = linkLoadOf(context, job, store);
+  const unread = leadingTokens(parts, () => true) - cachedTokens;
   const place = isLinkBusy(waitMs, job.route.objectiveMs) ? 'busy' : 'store';
   return { location: place, cachedTokens, fetchMs: waitMs + unread * tokenMs };
 }
 
-/** Where a target fetches what it lacks of a request's shared parts; undefined: nowhere. */
+/** The source from which a target fetches the shared parts that it lacks; undefined if there is none. */
 export function sourceFor(context: RelayContext, job: Job, target: Target): Source | undefined {
-  return sharedPartsAt(target, job).length === 0 ? undefined : sourceOf(holdersFor(context, job, target));
+  return sharedPartsAt(target, job).length === 0 ? undefined : sourceOf(partHoldersFor(context, job, target));
 }
--- a/packages/relay/src/work/pass.ts
+++ b/packages/relay/src/work/pass.ts
@@ -1,4 +1,4 @@
-/** Answers of targets that are not streams, passed on to callers. */
+/** Forwards answers of targets that are not streams to callers. */
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import { broken, headerOf } from '@jasmineroute/engine';
@@ -8,28 +8,28 @@
 import type { TargetAnswer } from './attempt.js';
 import type { RelayContext } from './context.js';
 
-/** Answers up to this size, bytes, are held until whole, so that a break can be mended by another attempt. */
-const HELD_BYTES = 256 * 1024;
+/** Answers up to this size in bytes are buffered in full, so that another attempt can replace one that breaks off. */
+const MAX_BUFFERED_ANSWER_BYTES = 256 * 1024;
 
-/** What came of one attempt. */
+/** Outcome of one attempt. */
 export type Outcome =
   | { readonly state: 'answered' }
-  /** A failure of the target's own, which may be passed on if nothing better comes. */
+  /** An error answer of the target, which is forwarded if no other attempt succeeds. */
   | { readonly state: 'failure'; readonly answer: () => void; readonly fault: Fault }
   | { readonly state: 'fault'; readonly fault: Fault };
 
-/** An answer that broke after the request may have run. */
-export function brokenOff(problem: Fault): Outcome {
+/** The outcome for an answer that broke off after the request may have run. */
+export function interrupted(problem: Fault): Outcome {
   return { state: 'fault', fault: { ...problem, ran: 'may-have-run' } };
 }
 
-/** Reads a failure whole, to be passed on if no other attempt does better. */
-export async function passFailure(
+/** Buffers an error answer, to be forwarded if no other attempt succeeds. */
+export async function bufferFailure(
   { dialect }: RelayContext,
   answer: CallerAnswer,
   { wire }: TargetAnswer,
 ): Promise<Outcome> {
-  const body = await wholeBody(wire.body);
+  const body = await readWholeBody(wire.body);
   if (body.isErr()) return { state: 'fault', fault: body.error };
   const headers = dialect.callerHeaders(wire.headers);
   return {
@@ -41,42 +41,42 @@
   };
 }
 
-/** Passes an answer on: read whole before any of it goes out, unless it is large. */
-export async function passAnswer(
+/** Forwards an answer. It is buffered in full before any of it is sent, unless it is large. */
+export async function forwardAnswer(
   { dialect }: RelayContext,
   answer: CallerAnswer,
   { wire }: TargetAnswer,
 ): Promise<Outcome> {
   const headers = dialect.callerHeaders(wire.headers);
   const length = Number(headerOf(wire.headers, 'content-length') ?? Number.NaN);
-  if (length > HELD_BYTES) return passPieces(answer, wire, headers);
-  const body = await wholeBody(wire.body);
+  if (length > MAX_BUFFERED_ANSWER_BYTES) return forwardChunks(answer, wire, headers);
+  const body = await readWholeBody(wire.body);
   if (body.isErr()) return { state: 'fault', fault: body.error };
   answer.whole(wire.status, headers, body.value);
   return { state: 'answered' };
 }
 
-async function passPieces(
+async function forwardChunks(
   answer: CallerAnswer,
   wire: TargetAnswer['wire'],
   headers: Parameters<CallerAnswer['begin']>[1],
 ): Promise<Outcome> {
   answer.begin(wire.status, headers);
   try {
-    for await (const piece of wire.body) await answer.write(piece);
+    for await (const chunk of wire.body) await answer.write(chunk);
   } catch (error) {
-    return brokenOff(broken(error));
+    return interrupted(broken(error));
   }
   answer.end();
   return { state: 'answered' };
 }
 
-async function wholeBody(body: AsyncIterable<Uint8Array>): Promise<Result<Uint8Array, Fault>> {
-  const parts: Uint8Array[] = [];
+async function readWholeBody(body: AsyncIterable<Uint8Array>): Promise<Result<Uint8Array, Fault>> {
+  const chunks: Uint8Array[] = [];
   try {
-    for await (const part of body) parts.push(part);
+    for await (const chunk of body) chunks.push(chunk);
   } catch (error) {
     return err(broken(error));
   }
-  return ok(Buffer.concat(parts));
+  return ok(Buffer.concat(chunks));
 }
--- a/packages/relay/src/work/report.ts
+++ b/packages/relay/src/work/report.ts
@@ -1,4 +1,4 @@
-/** What is logged of a request's sendings and refusals: the inputs that decided, their age, and the outcome. */
+/** Log records of a request's attempts and refusals: the inputs of the decision, their age, and the outcome. */
 import type { CallerAnswer } from '../answer/index.js';
 import type { Addition } from '../dialect/index.js';
 import type { Placement } from '../placement/index.js';
@@ -6,22 +6,22 @@
 import type { Outcome } from './pass.js';
 import type { Stream } from './stream.js';
 
-/** One sending of a request that is over. */
-export interface Sending {
+/** One finished attempt of a request. */
+export interface Attempt {
   readonly job: Job;
   readonly placement: Placement;
   readonly addition: Addition;
   readonly outcome: Outcome;
-  /** Status of the target's answer; 0: none. */
+  /** Status of the target's answer; 0 if there was none. */
   readonly status: number;
-  /** Which sending of the request it was, from 1. */
+  /** Number of the attempt, from 1. */
   readonly send: number;
   readonly tookMs: number;
 }
 
-/** Fields of the line that is logged for each sending. */
-export function sendingReport(
-  { job, placement, addition, outcome, status, send, tookMs }: Sending,
+/** Fields of the log line for an attempt. */
+export function attemptRecord(
+  { job, placement, addition, outcome, status, send, tookMs }: Attempt,
   stream: Stream,
   answer: CallerAnswer,
 ): Record<string, unknown> {
@@ -48,7 +48,7 @@
   };
 }
 
-/** What the refusal of an overrun service was decided on. */
-export const overrunText = ({ target, load, waiting, queueMs, expectedMs }: Placement): string =>
-  `all targets are overrun: the best, ${target.id}, has ${load} requests with ${waiting ?? 0} tokens to read, ` +
-  `which take ${queueMs ?? 0} ms, and a first token would take ${expectedMs ?? 0} ms`;
+/** Message for a request rejected because of overload, with the numbers that decided it. */
+export const overloadMessage = ({ target, load, waiting, queueMs, expectedMs }: Placement): string =>
+  `all targets are overloaded: the best one, ${target.id}, has ${load} requests with ${waiting ?? 0} tokens to read, ` +
+  `a queue of ${queueMs ?? 0} ms, and an expected time to first token of ${expectedMs ?? 0} ms`;
--- a/packages/relay/src/work/serviceBudgets.ts
+++ b/packages/relay/src/work/serviceBudgets.ts
@@ -1,17 +1,17 @@
 /** Retry budgets by service. */
 import { RetryBudget } from '@jasmineroute/routing';
 
-/** Retries that are shared by all entries together. */
+/** Retries allowed for all entries together. */
 export interface RetryAllowance {
-  /** Retries for each request. */
+  /** Retries per request. */
   readonly share: number;
-  /** Retries beyond that which all entries together may save up. */
+  /** Additional retries that all entries together may save up. */
   readonly slack: number;
 }
 
 /**
- * One budget for each service, as a failing one must not use up the retries of another. The slack is shared by the
- * entries that there are, so that all together stay within it.
+ * One retry budget per service, so that a failing service can't use up the retries of another. The slack is divided
+ * by the number of entries, so that all entries together stay within it.
  */
 export class ServiceBudgets {
   private readonly budgets = new Map<string, RetryBudget>();
@@ -21,19 +21,19 @@
     private readonly entries: () => number,
   ) {}
 
-  /** A first attempt for a service goes out. */
+  /** Records the first attempt of a request for a service. */
   deposit(service: string): void {
-    this.of(service).deposit();
+    this.budgetOf(service).deposit();
   }
 
-  /** Takes a retry; false when the budget is spent. */
+  /** Takes a retry from the budget; false if it is exhausted. */
   withdraw(service: string): boolean {
-    return this.of(service).withdraw();
+    return this.budgetOf(service).withdraw();
   }
 
-  private of(service: string): RetryBudget {
-    const known = this.budgets.get(service);
-    if (known !== undefined) return known;
+  private budgetOf(service: string): RetryBudget {
+    const existing = this.budgets.get(service);
+    if (existing !== undefined) return existing;
     const { share, slack } = this.allowance;
     const budget = new RetryBudget({ share, burst: Math.max(1, Math.floor(slack / this.entries())) });
     this.budgets.set(service, budget);
--- a/packages/relay/src/work/stream.ts
+++ b/packages/relay/src/work/stream.ts
@@ -1,4 +1,4 @@
-/** A stream of events on its way from targets to one caller. */
+/** Forwards a stream of events from targets to one caller. */
 import { fault } from '@jasmineroute/core';
 import { broken } from '@jasmineroute/engine';
 import type { WireAnswer } from '@jasmineroute/engine';
@@ -9,64 +9,66 @@
 import type { OpenRequest } from '../target/index.js';
 import type { TargetAnswer } from './attempt.js';
 import type { RelayContext } from './context.js';
-import { brokenOff } from './pass.js';
+import { interrupted } from './pass.js';
 import type { Outcome } from './pass.js';
 
-/** A stream that leaves a target waits so long for its next event, milliseconds: some steps of a busy engine. */
-const MOVE_MS = 250;
+/** How long a stream that leaves a target waits for its next event, milliseconds: some steps of a busy engine. */
+const MOVE_TIMEOUT_MS = 250;
 
-/** The stream of one request, over all targets that it runs at. */
+/** The event stream of one request, across all targets that run it. */
 export class Stream {
-  /** Last event that the caller has; undefined: none yet. */
+  /** Id of the last event sent to the caller; undefined if there is none yet. */
   lastEventId: number | undefined;
   /** Longest pause between two events so far, milliseconds. */
   pauseMs = 0;
-  /** The running answer was given up to go on elsewhere. */
-  moving = false;
+  /** Whether the current answer was abandoned so that the stream can resume at another target. */
+  isMoving = false;
   private eventAt: number | undefined;
-  /** Time of the last event of the target that it runs at now. */
+  /** Monotonic time of the last event from the current target. */
   private targetEventAt: number | undefined;
 
-  /** @param mayMove whether the stream may go on at another target; takes the retry for it from the budget. */
+  /** @param reserveMove whether the stream may move to another target; takes the retry for it from the budget. */
   constructor(
     private readonly context: RelayContext,
     private readonly answer: CallerAnswer,
-    private readonly mayMove: () => boolean,
+    private readonly reserveMove: () => boolean,
   ) {}
 
-  /** Passes events as they come, whole ones only. */
-  async pass(target: Target, { wire }: TargetAnswer, open: OpenRequest): Promise<Outcome> {
+  /** Forwards events as they arrive, each only once it is complete. */
+  async forward(target: Target, { wire }: TargetAnswer, open: OpenRequest): Promise<Outcome> {
     this.targetEventAt = undefined;
-    const pieces = new EventPieces(this.lastEventId);
-    const ended = [this.watchQuiet(target, wire), this.watchPause(target, wire)];
-    // Not before the first event: a target that is lost before it leaves nothing of its answer behind.
+    const framer = new EventPieces(this.lastEventId);
+    const stopWatching = [this.watchUnresponsive(target, wire), this.watchTargetPause(target, wire)];
+    // Headers are sent with the first event, so that nothing of the answer of a target that is lost earlier reaches
+    // the caller.
     const begin = (): void => {
       this.answer.begin(wire.status, this.context.dialect.callerHeaders(wire.headers));
     };
     try {
       for await (const chunk of wire.body) {
         this.context.sights.heard(target.id);
-        const events = pieces.push(chunk);
+        const events = framer.push(chunk);
         if (events.length === 0) continue;
         open.read();
         begin();
-        this.note(target.id, pieces.lastId);
+        this.recordEvent(target.id, framer.lastId);
         await this.answer.write(events);
-        if (this.moving) wire.abandon();
+        if (this.isMoving) wire.abandon();
       }
     } catch (error) {
       wire.abandon();
-      return brokenOff(broken(error));
+      return interrupted(broken(error));
     } finally {
-      for (const end of ended) end();
+      for (const end of stopWatching) end();
     }
-    if (pieces.pending.length > 0) return brokenOff(fault('stream-broken', 'it ended inside an event'));
+    if (framer.pending.length > 0)
+      return interrupted(fault('stream-broken', 'the stream ended inside an event'));
     begin();
     this.answer.end();
     return { state: 'answered' };
   }
 
-  private note(targetId: string, eventId: number): void {
+  private recordEvent(targetId: string, eventId: number): void {
     const now = this.context.clock.monotonic();
     this.lastEventId = eventId;
     if (this.eventAt !== undefined) this.pauseMs = Math.max(this.pauseMs, now - this.eventAt);
@@ -75,45 +77,47 @@
     this.targetEventAt = now;
   }
 
-  private move(): boolean {
-    this.moving ||= this.mayMove();
-    return this.moving;
+  private startMove(): boolean {
+    this.isMoving ||= this.reserveMove();
+    return this.isMoving;
   }
 
   /**
-   * Lets the stream leave a target that pauses. The target waits for its runs before it loads new weights, up to several
-   * seconds for a long one, and takes no other work meanwhile; a stream that goes on elsewhere loses some ms. It leaves
-   * right after an event, as its caller counts the pause from there. Returns the way to stop.
+   * Moves the stream off a target that pauses. Before a target loads new weights it waits for its running requests,
+   * up to several seconds for a long one, and takes no other work meanwhile; a moved stream loses only some
+   * milliseconds. The stream leaves right after an event, as the caller measures the pause from there.
+   * @returns a function that stops watching.
    */
-  private watchPause(target: Target, wire: WireAnswer): () => void {
+  private watchTargetPause(target: Target, wire: WireAnswer): () => void {
     const { knowledge, clock } = this.context;
-    let calledOff = (): void => undefined;
+    let cancelTimer = (): void => undefined;
     const stop = knowledge.targets.onPause((id) => {
-      if (id !== target.id || this.moving || !this.move()) return;
-      calledOff = clock.after(MOVE_MS, () => {
+      if (id !== target.id || this.isMoving || !this.startMove()) return;
+      cancelTimer = clock.after(MOVE_TIMEOUT_MS, () => {
         wire.abandon();
       });
     });
     return () => {
       stop();
-      calledOff();
+      cancelTimer();
     };
   }
 
   /**
-   * Lets the stream leave a target that seems lost. Only then: the silence of one stream alone is no reason, as it may
-   * wait for its turn in a batch. Returns the way to stop.
+   * Moves the stream off a target that appears lost. The silence of a single stream is no sufficient sign, as it may
+   * be waiting for its turn in a batch.
+   * @returns a function that stops watching.
    */
-  private watchQuiet(target: Target, wire: WireAnswer): () => void {
+  private watchUnresponsive(target: Target, wire: WireAnswer): () => void {
     const { sights, clock } = this.context;
-    let calledOff: () => void;
-    const look = (): void => {
-      if (sights.isQuiet(target.id) && this.move()) wire.abandon();
-      else calledOff = clock.after(QUIET_MS / 2, look);
+    let cancelTimer: () => void;
+    const check = (): void => {
+      if (sights.isQuiet(target.id) && this.startMove()) wire.abandon();
+      else cancelTimer = clock.after(QUIET_MS / 2, check);
     };
-    calledOff = clock.after(QUIET_MS, look);
+    cancelTimer = clock.after(QUIET_MS, check);
     return () => {
-      calledOff();
+      cancelTimer();
     };
   }
 }
