--- a/packages/relay/src/answer/callerAnswer.ts
+++ b/packages/relay/src/answer/callerAnswer.ts
@@ -1,4 +1,4 @@
-/** The caller's side of one answer, written with Node's raw response. */
+/** Writes one answer to a caller through Node's raw response. */
 import { once } from 'node:events';
 import type { ServerResponse } from 'node:http';
 import { answerOf } from '@jasmineroute/core';
@@ -6,26 +6,26 @@
 import type { HeaderField } from '@jasmineroute/engine';
 import type { Dialect } from '../dialect/index.js';
 
-/** A caller that takes no byte for so long is cut, milliseconds: its connection may have gone silent. */
-const STALL_MS = 10_000;
+/** Time after which a caller that accepts no more data is disconnected, milliseconds: its connection may be dead. */
+const WRITE_TIMEOUT_MS = 10_000;
 
-/** Statuses that promise a caller that its request did not run. */
-export const PROMISES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Statuses that tell a caller that its request did not run. */
+export const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 const BAD_GATEWAY = 502;
 
-/** The status of a fault's row, unless it would promise what is not proved. */
+/** The HTTP status of a fault, unless it would claim without proof that the request did not run. */
 function statusOf({ kind, ran }: Fault): number {
   const { status } = answerOf(kind);
-  return PROMISES.has(status) && ran !== 'not-run' ? BAD_GATEWAY : status;
+  return NOT_RUN_STATUSES.has(status) && ran !== 'not-run' ? BAD_GATEWAY : status;
 }
 
-/** One answer to a caller. Every method is harmless once the caller is gone. */
+/** One answer to a caller. All methods are safe to call after the caller has left. */
 export class CallerAnswer {
   private readonly left = new AbortController();
-  /** Earliest and latest time at which the request can have come: they differ by a stall. */
-  private readonly startedAt: number;
-  private readonly readAt: number;
-  private firstByte: number | undefined;
+  /** Earliest and latest monotonic time at which the request may have arrived; they differ by an event loop stall. */
+  private readonly earliestStartAt: number;
+  private readonly latestStartAt: number;
+  private firstByteAfterMs: number | undefined;
   private fault: Fault | undefined;
 
   constructor(
@@ -34,8 +34,8 @@
     private readonly clock: Clock,
     stalls: StallWatch,
   ) {
-    this.startedAt = stalls.readSince();
-    this.readAt = clock.monotonic();
+    this.earliestStartAt = stalls.readSince();
+    this.latestStartAt = clock.monotonic();
     response.on('error', () => {
       this.left.abort(new Error('caller left'));
     });
@@ -44,74 +44,77 @@
     });
   }
 
-  /** Aborts when the caller leaves before its answer is whole. */
+  /** Aborts when the caller leaves before its answer is complete. */
   get gone(): AbortSignal {
     return this.left.signal;
   }
 
-  /** Whether bytes went out. */
+  /** Whether the headers have been sent. */
   get begun(): boolean {
     return this.response.headersSent;
   }
 
-  /** Status that was sent, or 0. */
+  /** HTTP status that was sent, or 0. */
   get status(): number {
     return this.response.headersSent ? this.response.statusCode : 0;
   }
 
-  /** The fault that ended the answer, if one did. */
+  /** The fault that ended the answer, if any. */
   get failure(): Fault | undefined {
     return this.fault;
   }
 
-  /** Milliseconds since the request came; after a stall, in which that is not known, since the earliest time. */
+  /**
+   * Maximum age of the request in milliseconds: after an event loop stall its arrival time is uncertain, and the
+   * earliest counts.
+   */
   age(): number {
-    return this.clock.monotonic() - this.startedAt;
+    return this.clock.monotonic() - this.earliestStartAt;
   }
 
-  /** The same at least, after a stall: since the request was read. */
-  leastAge(): number {
-    return this.clock.monotonic() - this.readAt;
+  /** Minimum age of the request in milliseconds: the time since it was read. */
+  minAge(): number {
+    return this.clock.monotonic() - this.latestStartAt;
   }
 
-  /** Milliseconds from the request to the first byte of the body. */
+  /** Milliseconds from the arrival of the request to the first body byte. */
   get firstByteMs(): number | undefined {
-    return this.firstByte;
+    return this.firstByteAfterMs;
   }
 
-  /** Sends a whole answer. */
+  /** Sends a complete answer. */
   whole(status: number, headers: readonly HeaderField[], body: Uint8Array): void {
     if (this.left.signal.aborted || this.begun) return;
-    this.fields(headers.filter(({ name }) => name.toLowerCase() !== 'content-length'));
+    this.appendHeaders(headers.filter(({ name }) => name.toLowerCase() !== 'content-length'));
     this.response.setHeader('content-length', body.length);
     this.response.statusCode = status;
-    this.firstByte = this.age();
+    this.firstByteAfterMs = this.age();
     this.response.end(body);
   }
 
-  /** Begins an answer whose body comes piece by piece. */
+  /** Starts an answer whose body is written in chunks. */
   begin(status: number, headers: readonly HeaderField[]): void {
     if (this.left.signal.aborted || this.begun) return;
     for (const name of this.response.getHeaderNames()) {
       if (name !== 'connection') this.response.removeHeader(name);
     }
-    this.fields(headers);
+    this.appendHeaders(headers);
     this.response.statusCode = status;
   }
 
-  /** Writes a piece, and waits while the caller takes no more. */
-  async write(piece: Uint8Array): Promise<void> {
-    if (this.left.signal.aborted || piece.length === 0) return;
-    this.firstByte ??= this.age();
-    if (!this.response.write(piece)) await this.drained();
+  /** Writes a chunk, and waits while the caller accepts no more data. */
+  async write(chunk: Uint8Array): Promise<void> {
+    if (this.left.signal.aborted || chunk.length === 0) return;
+    this.firstByteAfterMs ??= this.age();
+    if (!this.response.write(chunk)) await this.waitForDrain();
   }
 
-  /** Ends an answer that is whole. */
+  /** Ends a complete answer. */
   end(): void {
     if (!this.left.signal.aborted) this.response.end();
   }
 
-  /** Answers with a fault, or cuts the connection when a part of another answer went out already. */
+  /** Answers with a fault, or closes the connection if part of another answer has already been sent. */
   fail(fault: Fault, requestId?: string): void {
     if (this.left.signal.aborted || this.response.writableEnded) return;
     this.fault = fault;
@@ -123,7 +126,7 @@
     for (const name of this.response.getHeaderNames()) {
       if (name !== 'connection') this.response.removeHeader(name);
     }
-    this.fields(headers);
+    this.appendHeaders(headers);
     if (!this.response.req.complete) this.response.setHeader('connection', 'close');
     this.response.setHeader('content-length', body.length);
     this.response.statusCode = status;
@@ -131,8 +134,9 @@
   }
 
   /**
-   * Ends the connection inside an answer. What was written still arrives, which a reset would take away; the missing last
-   * chunk, or the length, shows that the answer is not whole. Only callers of HTTP/1.0 get neither, so they get a reset.
+   * Closes the connection in the middle of an answer. A graceful close still delivers what was written, which a reset
+   * would discard; the missing last chunk or the content length shows that the answer is incomplete. Callers of
+   * HTTP/1.0 get neither, so their connection is reset.
    */
   private cut(): void {
     const { socket, req } = this.response;
@@ -140,20 +144,20 @@
     else socket?.destroySoon();
   }
 
-  private fields(headers: readonly HeaderField[]): void {
+  private appendHeaders(headers: readonly HeaderField[]): void {
     for (const { name, value } of headers) this.response.appendHeader(name, value);
   }
 
-  private async drained(): Promise<void> {
-    const calledOff = this.clock.after(STALL_MS, () => {
+  private async waitForDrain(): Promise<void> {
+    const cancelTimer = this.clock.after(WRITE_TIMEOUT_MS, () => {
       this.response.destroy();
     });
     try {
       await once(this.response, 'drain', { signal: this.left.signal });
     } catch {
-      // The caller left: `gone` says so, and whoever writes looks there.
+      // The caller left. `gone` is aborted, and the code that writes checks it.
     } finally {
-      calledOff();
+      cancelTimer();
     }
   }
 }
--- a/packages/relay/src/work/attempt.ts
+++ b/packages/relay/src/work/attempt.ts
@@ -6,7 +6,7 @@
 import type { WireAnswer } from '@jasmineroute/engine';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { PROMISES } from '../answer/index.js';
+import { NOT_RUN_STATUSES } from '../answer/index.js';
 import type { Addition, AnswerMarks, RelayRequest } from '../dialect/index.js';
 import type { Target } from '@jasmineroute/knowledge';
 import { connectionShare } from '../target/index.js';
@@ -89,7 +89,7 @@
     return reject(fault('answer-mismatch', 'successful answer without a request id or signature'));
   }
   // This status would tell the caller that the request did not run, which the target has not stated.
-  if (PROMISES.has(wire.status)) {
+  if (NOT_RUN_STATUSES.has(wire.status)) {
     return reject(
       fault(
         'engine-failed',
--- a/packages/relay/src/work/relayWork.ts
+++ b/packages/relay/src/work/relayWork.ts
@@ -128,7 +128,7 @@
     const waitMs = Math.min(request.deadlineMs ?? route.timeoutMs, route.timeoutMs);
     const until = clock.monotonic() - this.answer.age() + waitMs;
     // A running request may continue for as long as its caller may still wait for it.
-    const abortAt = clock.monotonic() - this.answer.leastAge() + waitMs;
+    const abortAt = clock.monotonic() - this.answer.minAge() + waitMs;
     const body = await readBody(this.incoming, limit, bodyBudget);
     if (body.isErr()) {
       this.reject(request, body.error, route);
--- a/packages/relay/src/work/stream.ts
+++ b/packages/relay/src/work/stream.ts
@@ -3,7 +3,7 @@
 import { broken } from '@jasmineroute/engine';
 import type { WireAnswer } from '@jasmineroute/engine';
 import type { Target } from '@jasmineroute/knowledge';
-import { EventPieces } from '../answer/index.js';
+import { EventFramer } from '../answer/index.js';
 import type { CallerAnswer } from '../answer/index.js';
 import { QUIET_MS } from '../target/index.js';
 import type { OpenRequest } from '../target/index.js';
@@ -37,7 +37,7 @@
   /** Forwards events as they arrive, each only once it is complete. */
   async forward(target: Target, { wire }: TargetAnswer, open: OpenRequest): Promise<Outcome> {
     this.targetEventAt = undefined;
-    const framer = new EventPieces(this.lastEventId);
+    const framer = new EventFramer(this.lastEventId);
     const stopWatching = [this.watchUnresponsive(target, wire), this.watchTargetPause(target, wire)];
     // Headers are sent with the first event, so that nothing of the answer of a target that is lost earlier reaches
     // the caller.
