--- a/packages/relay/src/cache/storeLink.spec.ts
+++ b/packages/relay/src/cache/storeLink.spec.ts
@@ -1,7 +1,7 @@
 import type { Configuration } from '@jasmineroute/configuration';
 import { ManualClock } from '@jasmineroute/core';
 import { describe, expect, it } from 'vitest';
-import { TargetSights } from '../target/index.js';
+import { TargetMonitor } from '../target/index.js';
 import { tokenFetchMs, isLinkBusy, linkWaitMs } from './storeLink.js';
 
 const STORE = '10.0.0.9:80';
@@ -21,14 +21,16 @@
     // Fetches use nine tenths of the link at usual load. After an outage all waiting requests arrive at once, and 70
     // prompts fetch 3,780 tokens each over one link. If fetches counted as free, the queue would not shrink, and
     // every first token would come after 1.6 s for some seconds, at targets with little to do.
-    const sights = new TargetSights(new ManualClock());
-    const isBusy = (): boolean => isLinkBusy(linkWaitMs(sights.backlog, STORE, 0.008), 600);
-    const open = Array.from({ length: 12 }, () => sights.began('t1', 100, { store: STORE, tokens: 4_000 }));
+    const monitor = new TargetMonitor(new ManualClock());
+    const isBusy = (): boolean => isLinkBusy(linkWaitMs(monitor.backlog, STORE, 0.008), 600);
+    const open = Array.from({ length: 12 }, () =>
+      monitor.startRequest('t1', 100, { store: STORE, tokens: 4_000 }),
+    );
     expect(isBusy()).toBe(false);
-    sights.backlog.told('e2', [{ targetId: STORE, tokens: 32_000 }]);
+    monitor.backlog.recordRemote('e2', [{ targetId: STORE, tokens: 32_000 }]);
     expect(isBusy()).toBe(true);
-    open[0]?.read();
-    open[1]?.ended();
+    open[0]?.markRead();
+    open[1]?.finish();
     expect(isBusy()).toBe(false);
   });
 });
--- a/packages/relay/src/placement/placement.spec.ts
+++ b/packages/relay/src/placement/placement.spec.ts
@@ -5,7 +5,7 @@
 import { controlMessage } from '@jasmineroute/protocol';
 import { createRandom } from '@jasmineroute/routing';
 import { beforeEach, describe, expect, it } from 'vitest';
-import { TargetSights } from '../target/index.js';
+import { TargetMonitor } from '../target/index.js';
 import { TargetSelector, drawService } from './placement.js';
 import type { Placement, PlacementInput } from './placement.js';
 import type { PartsLocation } from './lack.js';
@@ -26,13 +26,13 @@
 
 describe('placement', () => {
   let clock: ManualClock;
-  let sights: TargetSights;
+  let monitor: TargetMonitor;
   let selector: TargetSelector;
 
   beforeEach(() => {
     clock = new ManualClock();
-    sights = new TargetSights(clock);
-    selector = new TargetSelector(sights, 'here', createRandom(1));
+    monitor = new TargetMonitor(clock);
+    selector = new TargetSelector(monitor, 'here', createRandom(1));
   });
 
   const choose = (
@@ -71,9 +71,9 @@
     // If the home target took all requests with a popular shared part regardless of its queue, they would wait there
     // while other targets are idle.
     const first = home('hot') ?? '';
-    const open = Array.from({ length: 12 }, () => sights.began(first, 1_000));
+    const open = Array.from({ length: 12 }, () => monitor.startRequest(first, 1_000));
     expect(home('hot')).not.toBe(first);
-    for (const one of open) one.ended();
+    for (const one of open) one.finish();
     expect(home('hot')).toBe(first);
   });
 
@@ -83,10 +83,10 @@
     // read every prompt in full, as its cache is empty.
     const [a, b] = [target('a'), target('b')];
     const chosen = () => choose([a, b], { prompt: prompt('short', 'own', 400) })?.target.id;
-    sights.began('a', 18_000);
-    for (let n = 0; n < 3; n += 1) sights.began('b', 300);
+    monitor.startRequest('a', 18_000);
+    for (let n = 0; n < 3; n += 1) monitor.startRequest('b', 300);
     expect(chosen()).toBe('b');
-    sights.backlog.told('e2', [{ targetId: 'b', tokens: 40_000 }]);
+    monitor.backlog.recordRemote('e2', [{ targetId: 'b', tokens: 40_000 }]);
     expect(chosen()).toBe('a');
   });
 
@@ -113,28 +113,28 @@
 
   it('sends less work to a slower target', () => {
     for (let n = 0; n < 60; n += 1) {
-      sights.pace.paused('a', 26);
-      sights.pace.paused('b', 34);
+      monitor.pace.recordPause('a', 26);
+      monitor.pace.recordPause('b', 34);
     }
     const chosen = () => choose([target('a'), target('b')], { prompt: prompt('short', 'own', 400) });
-    sights.began('a', 4_000);
-    sights.began('b', 4_000);
+    monitor.startRequest('a', 4_000);
+    monitor.startRequest('b', 4_000);
     expect(chosen()?.target.id).toBe('a');
-    sights.began('a', 4_000);
+    monitor.startRequest('a', 4_000);
     expect(chosen()?.target.id).toBe('b');
     expect(chosen()?.slowness).toBeCloseTo(34 / 26, 1);
   });
 
   it('drops the work of an entry that stopped reporting, and prompts that were read', async () => {
-    sights.backlog.told('e2', [{ targetId: 'a', tokens: 500 }]);
-    const open = sights.began('a', 300);
-    expect(sights.backlog.tokensAt('a')).toBe(800);
-    open.read();
-    expect(sights.backlog.ownWork()).toEqual([]);
+    monitor.backlog.recordRemote('e2', [{ targetId: 'a', tokens: 500 }]);
+    const open = monitor.startRequest('a', 300);
+    expect(monitor.backlog.tokensAt('a')).toBe(800);
+    open.markRead();
+    expect(monitor.backlog.ownWork()).toEqual([]);
     await clock.advance(1_000);
-    expect(sights.backlog.tokensAt('a')).toBe(0);
-    open.ended();
-    expect(sights.backlog.tokensAt('a')).toBe(0);
+    expect(monitor.backlog.tokensAt('a')).toBe(0);
+    open.finish();
+    expect(monitor.backlog.tokensAt('a')).toBe(0);
   });
 
   it('avoids a target that refuses requests, for longer each time, until it succeeds', async () => {
@@ -143,18 +143,18 @@
     // targets have capacity.
     const chosen = (): string | undefined =>
       choose([target('a'), target('b')], { prompt: prompt('short', 'own', 400) })?.target.id;
-    sights.began('b', 30_000);
+    monitor.startRequest('b', 30_000);
     expect(chosen()).toBe('a');
-    for (let n = 0; n < 5; n += 1) sights.refused('a');
+    for (let n = 0; n < 5; n += 1) monitor.recordRefusal('a');
     expect(chosen()).toBe('b');
     await clock.advance(250);
     expect(chosen()).toBe('a');
-    sights.refused('a');
+    monitor.recordRefusal('a');
     await clock.advance(499);
     expect(chosen()).toBe('b');
     await clock.advance(1);
-    sights.succeeded('a');
-    sights.refused('a');
+    monitor.recordSuccess('a');
+    monitor.recordRefusal('a');
     await clock.advance(250);
     expect(chosen()).toBe('a');
   });
@@ -164,17 +164,17 @@
     const near = target('near');
     const candidates = [...far, near];
     expect(choose(candidates)?.target.id).toBe('near');
-    sights.told('near', { running: 3, waiting: 0 });
+    monitor.recordLoad('near', { running: 3, waiting: 0 });
     expect(choose(candidates)?.target.id).not.toBe('near');
   });
 
   it('discounts reported load with age', async () => {
-    sights.told('a', { running: 4, waiting: 0 });
-    expect(sights.requestsAt('a')).toBe(4);
+    monitor.recordLoad('a', { running: 4, waiting: 0 });
+    expect(monitor.requestsAt('a')).toBe(4);
     await clock.advance(1_000);
-    expect(sights.requestsAt('a')).toBe(2);
+    expect(monitor.requestsAt('a')).toBe(2);
     await clock.advance(2_000);
-    expect(sights.requestsAt('a')).toBe(0);
+    expect(monitor.requestsAt('a')).toBe(0);
   });
 
   it('reports overload when every engine is at its request limit, which is higher for urgent requests', () => {
@@ -188,7 +188,7 @@
       return selector.isOverloaded(input, placement);
     };
     const fill = (running: number): void => {
-      for (const { id } of targets) sights.told(id, { running, waiting: 0 });
+      for (const { id } of targets) monitor.recordLoad(id, { running, waiting: 0 });
     };
     fill(2);
     expect(isOverrun(1)).toBe(false);
@@ -212,7 +212,7 @@
       return selector.isOverloaded(input, placement);
     };
     const wait = (tokens: number): void => {
-      for (const { id } of targets) sights.began(id, tokens);
+      for (const { id } of targets) monitor.startRequest(id, tokens);
     };
     expect(isOverrun(1, 40_000)).toBe(false);
     wait(13_000);
@@ -227,10 +227,10 @@
   it('predicts the first token from earlier ones and the wait for the fetch', async () => {
     for (let n = 0; n < 200; n += 1) {
       const tokens = 1_000 + (n % 10) * 3_000;
-      const open = sights.began('a', tokens, undefined, 's');
+      const open = monitor.startRequest('a', tokens, undefined, 's');
       await clock.advance(30 + tokens * 0.02);
-      open.read();
-      open.ended();
+      open.markRead();
+      open.finish();
     }
     const expected = (fetchMs: number): number | undefined =>
       choose([target('a')], {
@@ -242,13 +242,13 @@
   });
 
   it('avoids a target that failed, for longer with each failure, unless all targets failed', async () => {
-    sights.failed('a');
-    expect(sights.isAvoided('a')).toBe(true);
+    monitor.recordFailure('a');
+    expect(monitor.isAvoided('a')).toBe(true);
     await clock.advance(250);
-    expect(sights.isAvoided('a')).toBe(false);
-    sights.failed('a');
+    expect(monitor.isAvoided('a')).toBe(false);
+    monitor.recordFailure('a');
     await clock.advance(250);
-    expect(sights.isAvoided('a')).toBe(true);
+    expect(monitor.isAvoided('a')).toBe(true);
     const only = [target('a')];
     expect(choose(only)?.target.id).toBe('a');
   });
@@ -256,16 +256,16 @@
   it('avoids a target with open requests that stopped sending', async () => {
     // A host that loses its network leaves its connections open, and missed heartbeats are noticed only seconds
     // later. Until then requests would hang to their deadline, one after the other.
-    const open = sights.began('a');
+    const open = monitor.startRequest('a');
     await clock.advance(800);
-    expect(sights.isAvoided('a')).toBe(false);
+    expect(monitor.isAvoided('a')).toBe(false);
     await clock.advance(1);
-    expect(sights.isAvoided('a')).toBe(true);
-    sights.heard('a');
-    expect(sights.isAvoided('a')).toBe(false);
+    expect(monitor.isAvoided('a')).toBe(true);
+    monitor.recordActivity('a');
+    expect(monitor.isAvoided('a')).toBe(false);
     await clock.advance(900);
-    open.ended();
-    expect(sights.isAvoided('a')).toBe(false);
+    open.finish();
+    expect(monitor.isAvoided('a')).toBe(false);
   });
 
   it('draws services by weight', () => {
--- a/packages/relay/src/placement/placement.ts
+++ b/packages/relay/src/placement/placement.ts
@@ -3,7 +3,7 @@
 import type { Random } from '@jasmineroute/routing';
 import type { PromptOutline } from '../dialect/index.js';
 import type { Target } from '@jasmineroute/knowledge';
-import type { TargetSights } from '../target/index.js';
+import type { TargetMonitor } from '../target/index.js';
 import { UNKNOWN_AVAILABILITY, homeOf, prefillCostOf } from './lack.js';
 import type { PrefillCost, PartsLocation, PartsAvailability } from './lack.js';
 
@@ -105,7 +105,7 @@
 /** Selects targets for the requests of one entry. */
 export class TargetSelector {
   constructor(
-    private readonly sights: TargetSights,
+    private readonly monitor: TargetMonitor,
     private readonly dataCentre: string,
     private readonly random: Random,
   ) {}
@@ -121,7 +121,7 @@
     if (prompt === undefined || candidates.length === 0) return false;
     const isUrgent = priority === 0;
     const occupancies = candidates.map(
-      ({ id, capacity }) => this.sights.requestsAt(id) / Math.max(1, capacity),
+      ({ id, capacity }) => this.monitor.requestsAt(id) / Math.max(1, capacity),
     );
     if (occupancies.every((one) => one >= (isUrgent ? MAX_OCCUPANCY_URGENT : MAX_OCCUPANCY))) return true;
     return queueMs > objectiveMs * (isUrgent ? MAX_QUEUE_RATIO_URGENT : MAX_QUEUE_RATIO);
@@ -130,7 +130,7 @@
   /** Selects the target for a request; undefined if there is none. */
   choose(input: PlacementInput): Placement | undefined {
     const { candidates } = input;
-    const healthy = candidates.filter(({ id }) => !this.sights.isAvoided(id));
+    const healthy = candidates.filter(({ id }) => !this.monitor.isAvoided(id));
     const usable = healthy.length > 0 ? healthy : candidates;
     if (usable.length === 0) return undefined;
     return input.prompt === undefined
@@ -146,7 +146,7 @@
   private leastWork(input: PlacementInput, prompt: PromptOutline, usable: readonly Target[]): Placement {
     const home = homeOf(prompt, input.salt, usable);
     const fastest = Math.min(
-      ...usable.map(({ id }) => this.sights.pace.pauseOf(id) ?? Number.POSITIVE_INFINITY),
+      ...usable.map(({ id }) => this.monitor.pace.pauseOf(id) ?? Number.POSITIVE_INFINITY),
     );
     const costs = usable.map((target) => {
       const availability = input.availabilityAt?.(target) ?? UNKNOWN_AVAILABILITY;
@@ -160,7 +160,7 @@
     const { target, prefill, waiting, slowness } = chosen;
     const { location, tokens, fetched, fetchMs } = prefill;
     const reason = home === undefined ? 'least-work' : target === home ? 'home' : 'elsewhere';
-    const model = this.sights.firstTokens(input.service);
+    const model = this.monitor.firstTokenModel(input.service);
     const expectedMs = Math.round(model.predict(target.id, waiting + tokens) + fetchMs);
     const queueMs = Math.round(waiting * model.tokenMs(target.id));
     const base = this.placementAt(target, reason, usable.length);
@@ -168,10 +168,10 @@
   }
 
   private costOf(target: Target, prefill: PrefillCost, fastestMs: number): Cost {
-    const waiting = this.sights.backlog.tokensAt(target.id);
-    const pauseMs = this.sights.pace.pauseOf(target.id) ?? fastestMs;
+    const waiting = this.monitor.backlog.tokensAt(target.id);
+    const pauseMs = this.monitor.pace.pauseOf(target.id) ?? fastestMs;
     const slowness = Number.isFinite(pauseMs) ? Math.min(MAX_SLOWNESS, pauseMs / fastestMs) : 1;
-    const requests = this.sights.requestsAt(target.id) * REQUEST_COST_TOKENS;
+    const requests = this.monitor.requestsAt(target.id) * REQUEST_COST_TOKENS;
     const total = (waiting + prefill.tokens + requests) * slowness + prefill.penalty;
     return { target, prefill, waiting, slowness, total };
   }
@@ -188,11 +188,11 @@
   /** Requests per slot, plus a penalty for targets in another data centre. */
   private loadOf({ id, capacity, dataCentre }: Target): number {
     const distance = dataCentre === this.dataCentre ? 0 : REMOTE_LOAD_PENALTY;
-    return this.sights.requestsAt(id) / Math.max(1, capacity) + distance;
+    return this.monitor.requestsAt(id) / Math.max(1, capacity) + distance;
   }
 
   private placementAt(target: Target, reason: Placement['reason'], candidates: number): Placement {
-    const load = Math.round(this.sights.requestsAt(target.id) * 10) / 10;
-    return { target, reason, candidates, tokens: 0, load, loadAgeMs: this.sights.ageOf(target.id) };
+    const load = Math.round(this.monitor.requestsAt(target.id) * 10) / 10;
+    return { target, reason, candidates, tokens: 0, load, loadAgeMs: this.monitor.loadAgeOf(target.id) };
   }
 }
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -12,7 +12,7 @@
 import { relayMetrics } from './metrics.js';
 import { TargetSelector } from './placement/index.js';
 import type { RelaySettings } from './setting/index.js';
-import { TargetPools, TargetSights, WorkReporter } from './target/index.js';
+import { TargetPools, TargetMonitor, WorkReporter } from './target/index.js';
 import { RequestHandler } from './work/index.js';
 import type { RelayContext } from './work/index.js';
 import { StartupGrace } from './work/learning.js';
@@ -60,13 +60,13 @@
     const { knowledge } = this;
     this.follower = new Follower({ name, role: 'entry', controls, listener: knowledge, peers, clock, log });
     const random = createRandom(settings.seed === 0 ? seedOf(name) : settings.seed);
-    const sights = new TargetSights(clock);
+    const monitor = new TargetMonitor(clock);
     const allowance = { share: settings.retryShare, slack: settings.retrySlack };
     this.work = {
       dialect,
       knowledge,
-      selector: new TargetSelector(sights, dataCentre, random),
-      sights,
+      selector: new TargetSelector(monitor, dataCentre, random),
+      monitor,
       pools: new TargetPools(),
       budgets: new ServiceBudgets(allowance, () => knowledge.entries()),
       copySchedule: new CopySchedule(clock, (store, part) => knowledge.isKept(store, part)),
@@ -99,14 +99,14 @@
       log,
     );
     knowledge.onLoad(({ targetId, running, waiting }) => {
-      sights.told(targetId, { running, waiting });
+      monitor.recordLoad(targetId, { running, waiting });
     });
     knowledge.onWork(({ entry, targets }) => {
-      sights.backlog.told(entry, targets);
+      monitor.backlog.recordRemote(entry, targets);
     });
     this.reporter = new WorkReporter({
       name,
-      backlog: sights.backlog,
+      backlog: monitor.backlog,
       entries: () => knowledge.entries(),
       controls: () => this.follower.controls(),
       peers,
@@ -198,8 +198,8 @@
     const { signal } = this.stopped;
     while (!signal.aborted) {
       const ids = this.knowledge.targets.ids();
-      this.work.sights.keep(ids);
-      await this.work.pools.keep(ids);
+      this.work.monitor.retain(ids);
+      await this.work.pools.retain(ids);
       metrics.gauge(relayMetrics.open, this.open);
       await clock.sleep(SWEEP_MS, signal).catch(() => undefined);
     }
--- a/packages/relay/src/target/backlog.ts
+++ b/packages/relay/src/target/backlog.ts
@@ -1,80 +1,84 @@
-/** Tokens of prompts that wait at targets to be read. */
+/** Counts the prompt tokens that wait to be read at targets. */
 import type { Clock } from '@jasmineroute/core';
 
-/** Work told by another entry is believed for so long, milliseconds: it is told again twice as often. */
-const TOLD_LASTS_MS = 1_000;
+/** Lifetime of another entry's report, milliseconds. Reports are repeated twice as often. */
+const REPORT_TTL_MS = 1_000;
 
-/** Tokens of prompts that wait at one target to be read, of one entry. */
+/** Prompt tokens of one entry that wait to be read at one target. */
 export interface PromptWork {
-  /** Or the address of a store, host:port, for what is fetched from it. */
+  /** A target id, or the address of a store (host:port) for tokens that are fetched from it. */
   readonly targetId: string;
   readonly tokens: number;
 }
 
-/** A prompt that waits to be read. */
-export interface WaitingPrompt {
-  /** It has been read: the first event came. */
-  readonly read: () => void;
-  /** Its request is over, read or not. */
-  readonly forget: () => void;
+/** A prompt waiting to be read. */
+export interface QueuedPrompt {
+  /** Marks the prompt as read: its first event has arrived. */
+  readonly markRead: () => void;
+  /** Removes the prompt because its request has ended, read or not. */
+  readonly remove: () => void;
 }
 
-interface Told {
-  readonly at: number;
+interface RemoteWork {
+  readonly receivedAt: number;
   readonly byTarget: ReadonlyMap<string, number>;
 }
 
 /**
- * What this entry has under way, and what the others told of theirs. What is fetched over a store's link is counted in the
- * same way, under the store's address.
+ * Pending work at targets, from this entry and from the reports of others. Fetches over a store's link are counted in
+ * the same way, under the store's address.
  */
 export class Backlog {
-  /** This entry's tokens by target id. */
+  /** This entry's pending tokens by target id. */
   private readonly own = new Map<string, number>();
-  private readonly others = new Map<string, Told>();
+  private readonly remoteWork = new Map<string, RemoteWork>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** A prompt with `tokens` to be read goes to a target; `onRead` hears of the first event, while the prompt waits. */
-  began(id: string, tokens: number, onRead?: () => void): WaitingPrompt {
+  /**
+   * Adds a prompt with `tokens` to be read at a target; `onRead` is called if its first event arrives while it is
+   * queued.
+   */
+  enqueue(id: string, tokens: number, onRead?: () => void): QueuedPrompt {
     this.add(id, tokens);
-    let left = tokens;
-    const forget = (): void => {
-      this.add(id, -left);
-      left = 0;
+    let remaining = tokens;
+    const remove = (): void => {
+      this.add(id, -remaining);
+      remaining = 0;
     };
-    const read = (): void => {
-      if (left > 0) onRead?.();
-      forget();
+    const markRead = (): void => {
+      if (remaining > 0) onRead?.();
+      remove();
     };
-    return { read, forget };
+    return { markRead, remove };
   }
 
-  /** Tokens that a target has to read yet, from this entry and others. */
+  /** Tokens that a target still has to read, from this entry and others. */
   tokensAt(id: string): number {
     const now = this.clock.monotonic();
     let tokens = this.own.get(id) ?? 0;
-    for (const { at, byTarget } of this.others.values()) {
-      if (now - at < TOLD_LASTS_MS) tokens += byTarget.get(id) ?? 0;
+    for (const { receivedAt, byTarget } of this.remoteWork.values()) {
+      if (now - receivedAt < REPORT_TTL_MS) tokens += byTarget.get(id) ?? 0;
     }
     return tokens;
   }
 
-  /** This entry's tokens at each target that has some. */
+  /** This entry's pending tokens at each target that has any. */
   ownWork(): PromptWork[] {
     return [...this.own].map(([targetId, tokens]) => ({ targetId, tokens }));
   }
 
-  /** Another entry told all of its tokens. */
-  told(entry: string, work: readonly PromptWork[]): void {
+  /** Records another entry's report, which replaces its previous one. */
+  recordRemote(entry: string, work: readonly PromptWork[]): void {
     const byTarget = new Map(work.map(({ targetId, tokens }) => [targetId, tokens]));
-    this.others.set(entry, { at: this.clock.monotonic(), byTarget });
+    this.remoteWork.set(entry, { receivedAt: this.clock.monotonic(), byTarget });
   }
 
-  /** Forgets entries that tell nothing any more. */
-  keep(): void {
+  /** Drops the reports of entries that have stopped reporting. */
+  dropExpired(): void {
     const now = this.clock.monotonic();
-    for (const [entry, { at }] of this.others) if (now - at >= TOLD_LASTS_MS) this.others.delete(entry);
+    for (const [entry, { receivedAt }] of this.remoteWork)
+      if (now - receivedAt >= REPORT_TTL_MS) this.remoteWork.delete(entry);
   }
 
   private add(id: string, tokens: number): void {
--- a/packages/relay/src/target/pace.ts
+++ b/packages/relay/src/target/pace.ts
@@ -1,45 +1,45 @@
-/** How fast targets make tokens, as the pauses between events show it. */
+/** Estimates the speed of targets from the pauses between events. */
 
 /**
- * Weights of a new pause that is shorter, or longer, than the one noted so far. The shorter counts ten times as much, so
- * that what is noted is near the pause without prompts being read in between: the speed of a target.
+ * Weights of a new pause that is shorter, or longer, than the average so far. Shorter pauses count ten times as much,
+ * which keeps the average near the pause without prompts being read in between: the speed of the target.
  */
-const SHORTER_WEIGHT = 0.2;
-const LONGER_WEIGHT = 0.02;
+const DECREASE_WEIGHT = 0.2;
+const INCREASE_WEIGHT = 0.02;
 
-/** Pauses below this are of events that came together, milliseconds. */
-const LEAST_PAUSE_MS = 5;
+/** Shorter pauses are between events that were sent together, milliseconds. */
+const MIN_PAUSE_MS = 5;
 
-/** Pauses after which a target's pace is believed. */
-const ENOUGH_PAUSES = 30;
+/** Number of pauses from which on the average is reliable. */
+const MIN_SAMPLES = 30;
 
-interface Noted {
+interface PauseAverage {
   pauseMs: number;
   count: number;
 }
 
 /** Pauses by target id. */
 export class Pace {
-  private readonly noted = new Map<string, Noted>();
-
-  /** Two events of a stream came so long after each other. */
-  paused(id: string, pauseMs: number): void {
-    if (pauseMs < LEAST_PAUSE_MS) return;
-    const noted = this.noted.get(id) ?? { pauseMs, count: 0 };
-    this.noted.set(id, noted);
-    const weight = pauseMs < noted.pauseMs ? SHORTER_WEIGHT : LONGER_WEIGHT;
-    noted.pauseMs += (pauseMs - noted.pauseMs) * weight;
-    noted.count += 1;
+  private readonly averages = new Map<string, PauseAverage>();
+
+  /** Records the pause between two events of a stream. */
+  recordPause(id: string, pauseMs: number): void {
+    if (pauseMs < MIN_PAUSE_MS) return;
+    const average = this.averages.get(id) ?? { pauseMs, count: 0 };
+    this.averages.set(id, average);
+    const weight = pauseMs < average.pauseMs ? DECREASE_WEIGHT : INCREASE_WEIGHT;
+    average.pauseMs += (pauseMs - average.pauseMs) * weight;
+    average.count += 1;
   }
 
-  /** Pause between a target's events while it reads no prompts, milliseconds; undefined: too few were seen. */
+  /** Pause between a target's events while it reads no prompts, milliseconds; undefined if too few were recorded. */
   pauseOf(id: string): number | undefined {
-    const noted = this.noted.get(id);
-    return noted === undefined || noted.count < ENOUGH_PAUSES ? undefined : noted.pauseMs;
+    const average = this.averages.get(id);
+    return average === undefined || average.count < MIN_SAMPLES ? undefined : average.pauseMs;
   }
 
-  /** Forgets targets that are gone. */
-  keep(ids: ReadonlySet<string>): void {
-    for (const id of this.noted.keys()) if (!ids.has(id)) this.noted.delete(id);
+  /** Drops the averages of all targets that are not listed. */
+  retain(ids: ReadonlySet<string>): void {
+    for (const id of this.averages.keys()) if (!ids.has(id)) this.averages.delete(id);
   }
 }
--- a/packages/relay/src/target/targetState.ts
+++ b/packages/relay/src/target/targetState.ts
@@ -1,184 +1,206 @@
-/** What this entry sees of targets: its own open requests, told load, and recent failures. */
+/**
+ * Tracks the state of targets as observed by this entry: its open requests, the reported load, and recent failures.
+ */
 import type { Clock } from '@jasmineroute/core';
 import { FirstTokenModel } from '@jasmineroute/routing';
 import { Backlog } from './backlog.js';
 import { Pace } from './pace.js';
 import type { ToldLoad } from '../dialect/index.js';
 
-/** Told load is worth nothing after this time, milliseconds: some requests of work. */
-const LOAD_LASTS_MS = 2_000;
+/** Time over which a reported load loses its weight, milliseconds: the duration of a few requests. */
+const LOAD_TTL_MS = 2_000;
 
-/** A target that failed is avoided for so long after each failure in a row, milliseconds, and at most. */
-const AVOID_MS = 250;
-const MOST_AVOID_MS = 4_000;
+/**
+ * Initial and maximum backoff for a target that failed, milliseconds. The backoff doubles with each consecutive
+ * failure.
+ */
+const FAILURE_BACKOFF_MS = 250;
+const MAX_FAILURE_BACKOFF_MS = 4_000;
 
-/** A target that refused is avoided for so long after each such time in a row, milliseconds, and at most: weights load in 1 to 2 s. */
-const REFUSED_MS = 250;
-const MOST_REFUSED_MS = 1_000;
+/**
+ * Initial and maximum backoff for a target that refused a request, milliseconds. The backoff doubles with each
+ * consecutive refusal. Loading weights takes 1 to 2 s.
+ */
+const REFUSAL_BACKOFF_MS = 250;
+const MAX_REFUSAL_BACKOFF_MS = 1_000;
 
 /**
- * A target with open requests that sends no byte for so long is taken to be lost, milliseconds. A busy engine sends an
- * event each 200 ms or so; a host that went dark resets nothing, and its heartbeats are missed only seconds later.
+ * A target with open requests that sends nothing for this long counts as lost, milliseconds. A busy engine sends an
+ * event about every 200 ms; a host that loses power or network resets no connection, and its missed heartbeats are
+ * noticed only seconds later.
  */
-export const QUIET_MS = 800;
+export const UNRESPONSIVE_MS = 800;
 
-/** What a request fetches from a store of kept cache before its prompt is read. */
+/** Tokens that a request fetches from a KV cache store before its prompt is read. */
 export interface Fetch {
   /** host:port. */
   readonly store: string;
   readonly tokens: number;
 }
 
-/** A request that is open at a target. */
+/** An open request at a target. */
 export interface OpenRequest {
-  /** Its prompt has been read: the first event came. */
-  read(): void;
-  /** It is over. */
-  ended(): void;
+  /** Marks the prompt as read: the first event has arrived. */
+  markRead(): void;
+  /** Ends the request. */
+  finish(): void;
 }
 
-/** What is seen of one target. */
-export interface Sight {
-  /** Requests of this entry that are open there. */
+/** Observed status of one target. */
+export interface TargetStatus {
+  /** Open requests of this entry. */
   open: number;
-  /** Requests of others there, when the load was told. */
+  /** Requests of other entries at the time of the load report. */
   others: number;
-  /** Monotonic time at which the load was told; absent: never. */
-  toldAt?: number;
-  /** Monotonic time of the last byte from it, or of the first open request since it had none. */
-  heardAt: number;
+  /** Monotonic time of the load report; absent if there was none. */
+  loadReportedAt?: number;
+  /** Monotonic time of the last byte received, or of the first open request after there were none. */
+  lastByteAt: number;
   failures: number;
-  /** Times in a row that it was avoided as it had refused. */
+  /** Consecutive backoffs after refusals. */
   refusals: number;
-  /** Monotonic time until which it is avoided. */
+  /** Monotonic time until which the target is avoided. */
   avoidUntil: number;
 }
 
-/** Sights by target id. */
-export class TargetSights {
-  private readonly sights = new Map<string, Sight>();
-  /** Prompts that wait there. */
+/** Status of targets by target id. */
+export class TargetMonitor {
+  private readonly statuses = new Map<string, TargetStatus>();
+  /** Pending work at targets. */
   readonly backlog: Backlog;
-  /** When their first tokens come, by service. */
+  /** Models of the time to first token, by service. */
   private readonly models = new Map<string, FirstTokenModel>();
-  /** How fast they make tokens. */
+  /** Speed of targets. */
   readonly pace = new Pace();
 
   constructor(private readonly clock: Clock) {
     this.backlog = new Backlog(clock);
   }
 
-  /** What is seen of a target. */
-  of(id: string): Sight {
-    const known = this.sights.get(id);
-    if (known !== undefined) return known;
-    const made: Sight = { open: 0, others: 0, heardAt: 0, failures: 0, refusals: 0, avoidUntil: 0 };
-    this.sights.set(id, made);
-    return made;
+  /** The status of a target. */
+  statusOf(id: string): TargetStatus {
+    const existing = this.statuses.get(id);
+    if (existing !== undefined) return existing;
+    const created: TargetStatus = {
+      open: 0,
+      others: 0,
+      lastByteAt: 0,
+      failures: 0,
+      refusals: 0,
+      avoidUntil: 0,
+    };
+    this.statuses.set(id, created);
+    return created;
   }
 
-  /** Requests that a target probably has, from this entry and others. */
+  /** Estimated number of requests at a target, from this entry and others. */
   requestsAt(id: string): number {
-    const { open, others, toldAt } = this.of(id);
-    if (toldAt === undefined) return open;
-    const age = this.clock.monotonic() - toldAt;
-    return open + others * Math.max(0, 1 - age / LOAD_LASTS_MS);
+    const { open, others, loadReportedAt } = this.statusOf(id);
+    if (loadReportedAt === undefined) return open;
+    const age = this.clock.monotonic() - loadReportedAt;
+    return open + others * Math.max(0, 1 - age / LOAD_TTL_MS);
   }
 
-  /** Age of the told load, milliseconds; undefined when none was told. */
-  ageOf(id: string): number | undefined {
-    const { toldAt } = this.of(id);
-    return toldAt === undefined ? undefined : Math.round(this.clock.monotonic() - toldAt);
+  /** Age of the reported load, milliseconds; undefined if there was no report. */
+  loadAgeOf(id: string): number | undefined {
+    const { loadReportedAt } = this.statusOf(id);
+    return loadReportedAt === undefined ? undefined : Math.round(this.clock.monotonic() - loadReportedAt);
   }
 
-  /** Whether a target failed a moment ago, or seems lost. */
+  /** Whether a target is in backoff, or unresponsive. */
   isAvoided(id: string): boolean {
-    return this.clock.monotonic() < this.of(id).avoidUntil || this.isQuiet(id);
+    return this.clock.monotonic() < this.statusOf(id).avoidUntil || this.isUnresponsive(id);
   }
 
-  /** Whether a target has open requests and has sent nothing for too long. */
-  isQuiet(id: string): boolean {
-    const { open, heardAt } = this.of(id);
-    return open > 0 && this.clock.monotonic() - heardAt > QUIET_MS;
+  /** Whether a target has open requests but has sent nothing for too long. */
+  isUnresponsive(id: string): boolean {
+    const { open, lastByteAt } = this.statusOf(id);
+    return open > 0 && this.clock.monotonic() - lastByteAt > UNRESPONSIVE_MS;
   }
 
-  /** A byte came from a target. */
-  heard(id: string): void {
-    this.of(id).heardAt = this.clock.monotonic();
+  /** Records that a byte arrived from a target. */
+  recordActivity(id: string): void {
+    this.statusOf(id).lastByteAt = this.clock.monotonic();
   }
 
-  /** When the first tokens of a service's targets come. */
-  firstTokens(service: string): FirstTokenModel {
-    const known = this.models.get(service) ?? new FirstTokenModel();
-    this.models.set(service, known);
-    return known;
+  /** The model of the time to first token at a service's targets. */
+  firstTokenModel(service: string): FirstTokenModel {
+    const model = this.models.get(service) ?? new FirstTokenModel();
+    this.models.set(service, model);
+    return model;
   }
 
-  /** A request of a service goes out, with `tokens` of its prompt to be read, and some to be fetched first. */
-  began(id: string, tokens = 0, fetch?: Fetch, service = ''): OpenRequest {
-    const sight = this.of(id);
-    if (sight.open === 0) sight.heardAt = this.clock.monotonic();
-    sight.open += 1;
-    const begunAt = this.clock.monotonic();
-    const ahead = this.backlog.tokensAt(id) + tokens;
-    // The wait for a store says nothing of the time to read.
-    const isRead = fetch === undefined || fetch.tokens === 0;
-    const learn = (): void => {
-      this.firstTokens(service).came(id, ahead, this.clock.monotonic() - begunAt);
+  /**
+   * Records that a request of a service is sent, with `tokens` of its prompt to be read and possibly some to be
+   * fetched first.
+   */
+  startRequest(id: string, tokens = 0, fetch?: Fetch, service = ''): OpenRequest {
+    const status = this.statusOf(id);
+    if (status.open === 0) status.lastByteAt = this.clock.monotonic();
+    status.open += 1;
+    const startedAt = this.clock.monotonic();
+    const tokensAhead = this.backlog.tokensAt(id) + tokens;
+    // The wait for a fetch must not be counted as time to read.
+    const needsNoFetch = fetch === undefined || fetch.tokens === 0;
+    const updateModel = (): void => {
+      this.firstTokenModel(service).came(id, tokensAhead, this.clock.monotonic() - startedAt);
     };
-    const prompt = this.backlog.began(id, tokens, isRead ? learn : undefined);
-    const fetched = fetch === undefined ? undefined : this.backlog.began(fetch.store, fetch.tokens);
-    const read = (): void => {
-      prompt.read();
-      fetched?.forget();
+    const prompt = this.backlog.enqueue(id, tokens, needsNoFetch ? updateModel : undefined);
+    const queuedFetch = fetch === undefined ? undefined : this.backlog.enqueue(fetch.store, fetch.tokens);
+    const markRead = (): void => {
+      prompt.markRead();
+      queuedFetch?.remove();
     };
-    const ended = (): void => {
-      prompt.forget();
-      fetched?.forget();
-      sight.open -= 1;
+    const finish = (): void => {
+      prompt.remove();
+      queuedFetch?.remove();
+      status.open -= 1;
     };
-    return { read, ended };
+    return { markRead, finish };
   }
 
-  /** A target told its load, which counts the answered request and this entry's others too. */
-  told(id: string, load: ToldLoad): void {
-    const sight = this.of(id);
-    sight.others = Math.max(0, load.running + load.waiting - sight.open);
-    sight.toldAt = this.clock.monotonic();
+  /** Records a target's load report, which includes the answered request and this entry's other requests. */
+  recordLoad(id: string, load: ToldLoad): void {
+    const status = this.statusOf(id);
+    status.others = Math.max(0, load.running + load.waiting - status.open);
+    status.loadReportedAt = this.clock.monotonic();
   }
 
-  /** A target answered as it should. */
-  succeeded(id: string): void {
-    const sight = this.of(id);
-    sight.failures = 0;
-    sight.refusals = 0;
+  /** Records a successful answer. */
+  recordSuccess(id: string): void {
+    const status = this.statusOf(id);
+    status.failures = 0;
+    status.refusals = 0;
   }
 
   /**
-   * A target stated that it did not run a request. One that loads weights without our knowledge, or has others than we
-   * know, refuses all at once, so it seems to have no work and draws all requests. Requests under way together count once.
+   * Records that a target refused a request without running it. A target that loads weights unexpectedly, or has
+   * other weights than announced, refuses every request at once, so it appears to have no work and attracts all
+   * requests. Refusals of concurrent requests count once.
    */
-  refused(id: string): void {
-    const sight = this.of(id);
+  recordRefusal(id: string): void {
+    const status = this.statusOf(id);
     const now = this.clock.monotonic();
-    if (now < sight.avoidUntil) return;
-    sight.avoidUntil = now + Math.min(MOST_REFUSED_MS, REFUSED_MS * 2 ** sight.refusals);
-    sight.refusals += 1;
+    if (now < status.avoidUntil) return;
+    status.avoidUntil = now + Math.min(MAX_REFUSAL_BACKOFF_MS, REFUSAL_BACKOFF_MS * 2 ** status.refusals);
+    status.refusals += 1;
   }
 
-  /** A target could not be reached, or broke an answer off. Each failure in a row keeps it away longer. */
-  failed(id: string): void {
-    const sight = this.of(id);
-    sight.failures += 1;
-    const avoidMs = Math.min(MOST_AVOID_MS, AVOID_MS * 2 ** (sight.failures - 1));
-    sight.avoidUntil = this.clock.monotonic() + avoidMs;
+  /**
+   * Records that a target was unreachable or broke off an answer. The backoff grows with each consecutive failure.
+   */
+  recordFailure(id: string): void {
+    const status = this.statusOf(id);
+    status.failures += 1;
+    const avoidMs = Math.min(MAX_FAILURE_BACKOFF_MS, FAILURE_BACKOFF_MS * 2 ** (status.failures - 1));
+    status.avoidUntil = this.clock.monotonic() + avoidMs;
   }
 
-  /** Forgets targets that are gone. */
-  keep(ids: ReadonlySet<string>): void {
-    for (const [id, { open }] of this.sights) if (!ids.has(id) && open === 0) this.sights.delete(id);
-    this.backlog.keep();
+  /** Drops the status of targets that are neither listed nor have open requests. */
+  retain(ids: ReadonlySet<string>): void {
+    for (const [id, { open }] of this.statuses) if (!ids.has(id) && open === 0) this.statuses.delete(id);
+    this.backlog.dropExpired();
     for (const model of this.models.values()) model.keep(ids);
-    this.pace.keep(ids);
+    this.pace.retain(ids);
   }
 }
--- a/packages/relay/src/target/workReporter.spec.ts
+++ b/packages/relay/src/target/workReporter.spec.ts
@@ -7,21 +7,21 @@
 import { Backlog } from './backlog.js';
 import { WorkReporter } from './workReporter.js';
 
-describe('the work that an entry tells the others', () => {
-  const told: string[] = [];
+describe('the pending work of an entry', () => {
+  const reports: string[] = [];
   const backlog = new Backlog(systemClock);
   let server: RpcServer;
   let peers: Peers;
   let reporter: WorkReporter;
 
   beforeEach(async () => {
-    told.length = 0;
+    reports.length = 0;
     server = await listen('127.0.0.1', 0, (router) => {
       router.service(controlMessage.Configurations, {
         report: reportTaker((report) => {
           if (report.case !== 'work') return;
           const { entry, targets } = report.value;
-          told.push(`${entry} ${targets.map(({ targetId, tokens }) => `${targetId}:${tokens}`).join()}`);
+          reports.push(`${entry} ${targets.map(({ targetId, tokens }) => `${targetId}:${tokens}`).join()}`);
         }),
       });
     });
@@ -30,7 +30,7 @@
       name: 'e1',
       backlog,
       entries: () => 1,
-      // Nobody listens at the first one.
+      // Nothing listens at the first address.
       controls: () => ['127.0.0.1:1', server.address],
       peers,
       clock: systemClock,
@@ -45,15 +45,15 @@
     await server.close();
   });
 
-  it('is told when it changes and while it lasts, to an instance that answers', async () => {
-    // Symptom: two entries send their prompts to one target, while another idles.
-    // Sequence: both choose within the time that it takes to read a prompt; a control instance is down.
-    // Cause: an entry knew of its own requests only.
-    const open = backlog.began('t1', 2_000);
-    await until(() => told.length >= 2);
-    expect(new Set(told)).toEqual(new Set(['e1 t1:2000']));
-    open.read();
-    await until(() => told.at(-1) === 'e1 ');
-    open.forget();
+  it('is reported when it changes and at intervals, to an instance that answers', async () => {
+    // If an entry knew only its own requests, two entries that choose within the time that it takes to read a prompt
+    // would both send theirs to the same target while another is idle. Reports must get through while a control
+    // instance is down.
+    const open = backlog.enqueue('t1', 2_000);
+    await until(() => reports.length >= 2);
+    expect(new Set(reports)).toEqual(new Set(['e1 t1:2000']));
+    open.markRead();
+    await until(() => reports.at(-1) === 'e1 ');
+    open.remove();
   });
 });
--- a/packages/relay/src/target/workReporter.ts
+++ b/packages/relay/src/target/workReporter.ts
@@ -1,4 +1,4 @@
-/** Tells the other entries what this one has under way at targets. */
+/** Reports this entry's pending work at targets to the other entries. */
 import { create } from '@bufbuild/protobuf';
 import { ReportSender } from '@jasmineroute/knowledge';
 import type { TellerParts } from '@jasmineroute/knowledge';
@@ -6,34 +6,36 @@
 import type { Backlog, PromptWork } from './backlog.js';
 
 /**
- * Pause between two looks, milliseconds, for each eight entries: a target gets a prompt each 100 ms, and reads it in 30.
- * With more entries each tells less often, so that a control instance gets 320 calls a second at most.
+ * Interval between two checks for changed work, milliseconds, for each eight entries: a target gets a prompt every
+ * 100 ms, and reads it in 30. With more entries each one reports less often, which limits a control instance to 320
+ * calls a second.
  */
-const LOOK_MS = 25;
-const ENTRIES_AT_ONCE = 8;
+const CHECK_INTERVAL_MS = 25;
+const ENTRIES_PER_INTERVAL = 8;
 
-/** Work that has not changed is told again after so long, milliseconds: entries believe it for 1 s. */
-const REPEAT_MS = 500;
+/** Interval at which unchanged work is reported again, milliseconds: other entries drop a report after 1 s. */
+const REPEAT_INTERVAL_MS = 500;
 
-/** Work that changed by less, in all, is not told: it decides nothing. In tokens. */
-const LEAST_CHANGE = 500;
+/** Minimum change in total tokens that is reported: smaller changes don't affect decisions. */
+const MIN_CHANGE_TOKENS = 500;
 
-/** What the reporter works with. */
+/** Dependencies of the reporter. */
 export interface WorkReporterParts extends TellerParts {
   readonly name: string;
   readonly backlog: Backlog;
-  /** Entries that serve now. */
+  /** Number of entries currently serving. */
   readonly entries: () => number;
 }
 
 /**
- * One control instance is told, which tells all entries. Without it each entry sees an eighth of what a target has to
- * read, and several send their prompts to one target within the time that it takes to read one.
+ * Reports to one control instance, which forwards the report to all entries. Without the reports each of eight
+ * entries would see an eighth of a target's pending work, and several would send their prompts to the same target
+ * within the time that it takes to read one.
  */
 export class WorkReporter {
   private readonly stopped = new AbortController();
-  private told = new Map<string, number>();
-  private toldAt = Number.NEGATIVE_INFINITY;
+  private reported = new Map<string, number>();
+  private reportedAt = Number.NEGATIVE_INFINITY;
   private readonly sender: ReportSender;
 
   constructor(private readonly parts: WorkReporterParts) {
@@ -45,8 +47,8 @@
     const { clock, entries } = this.parts;
     const { signal } = this.stopped;
     while (!signal.aborted) {
-      await this.look();
-      const pauseMs = LOOK_MS * Math.ceil(entries() / ENTRIES_AT_ONCE);
+      await this.reportIfDue();
+      const pauseMs = CHECK_INTERVAL_MS * Math.ceil(entries() / ENTRIES_PER_INTERVAL);
       await clock.sleep(pauseMs, signal).catch(() => undefined);
     }
   }
@@ -56,23 +58,23 @@
     this.sender.close();
   }
 
-  private async look(): Promise<void> {
+  private async reportIfDue(): Promise<void> {
     const { name, backlog, clock } = this.parts;
     const work = backlog.ownWork();
     const now = clock.monotonic();
-    const isOld = now - this.toldAt >= REPEAT_MS && work.length > 0;
-    if (!isOld && changeOf(this.told, work) < LEAST_CHANGE) return;
+    const isRepeatDue = now - this.reportedAt >= REPEAT_INTERVAL_MS && work.length > 0;
+    if (!isRepeatDue && changeOf(this.reported, work) < MIN_CHANGE_TOKENS) return;
     const value = create(controlMessage.EntryWorkSchema, { entry: name, targets: work });
     const taken = await this.sender.send(() => ({ case: 'work', value }));
     if (taken === undefined) return;
-    this.told = new Map(work.map(({ targetId, tokens }) => [targetId, tokens]));
-    this.toldAt = now;
+    this.reported = new Map(work.map(({ targetId, tokens }) => [targetId, tokens]));
+    this.reportedAt = now;
   }
 }
 
-/** Tokens by which work differs from what was told, over all targets. */
-function changeOf(told: ReadonlyMap<string, number>, work: readonly PromptWork[]): number {
-  const now = new Map(work.map(({ targetId, tokens }) => [targetId, tokens]));
-  const ids = new Set([...told.keys(), ...now.keys()]);
-  return [...ids].reduce((sum, id) => sum + Math.abs((now.get(id) ?? 0) - (told.get(id) ?? 0)), 0);
+/** Difference between the current and the last reported work in tokens, summed over all targets. */
+function changeOf(reported: ReadonlyMap<string, number>, work: readonly PromptWork[]): number {
+  const current = new Map(work.map(({ targetId, tokens }) => [targetId, tokens]));
+  const ids = new Set([...reported.keys(), ...current.keys()]);
+  return [...ids].reduce((sum, id) => sum + Math.abs((current.get(id) ?? 0) - (reported.get(id) ?? 0)), 0);
 }
--- a/packages/relay/src/work/attempt.ts
+++ b/packages/relay/src/work/attempt.ts
@@ -40,19 +40,25 @@
   addition: Addition,
   signal: AbortSignal,
 ): Promise<Result<TargetAnswer, Fault>> {
-  const { dialect, pools, knowledge, sights, clock, stalls } = context;
+  const { dialect, pools, knowledge, monitor, clock, stalls } = context;
   const { request, service, body } = job;
   const maxConnections = connectionShare(service.maxConnections, knowledge.entries());
   const { method, path } = request;
   const headers = dialect.targetHeaders(request, addition);
   const wireRequest = { method, path, headers, body };
-  const wire = await exchange(pools.of(target, maxConnections).pool(), wireRequest, clock, signal, stalls);
+  const wire = await exchange(
+    pools.poolFor(target, maxConnections).pool(),
+    wireRequest,
+    clock,
+    signal,
+    stalls,
+  );
   if (wire.isErr()) {
     const { kind } = wire.error;
-    if (kind === 'target-unreachable' || kind === 'target-lost') sights.failed(target.id);
+    if (kind === 'target-unreachable' || kind === 'target-lost') monitor.recordFailure(target.id);
     return err(wire.error);
   }
-  sights.heard(target.id);
+  monitor.recordActivity(target.id);
   return checkAnswer(context, request, target, wire.value);
 }
 
@@ -63,16 +69,16 @@
   target: Target,
   wire: WireAnswer,
 ): Result<TargetAnswer, Fault> {
-  const { dialect, sights, knowledge } = context;
+  const { dialect, monitor, knowledge } = context;
   const marks = dialect.readAnswer(wire.status, wire.headers);
-  if (marks.load !== undefined) sights.told(target.id, marks.load);
+  if (marks.load !== undefined) monitor.recordLoad(target.id, marks.load);
   const reject = (problem: Fault): Result<TargetAnswer, Fault> => {
     wire.abandon();
     return err(problem);
   };
   // A late answer to an earlier request says nothing about this request.
   if (marks.requestId !== undefined && marks.requestId !== request.id) {
-    sights.failed(target.id);
+    monitor.recordFailure(target.id);
     return reject(fault('answer-mismatch', 'the target sent the answer to another request'));
   }
   if (marks.otherTargetName !== undefined && marks.otherTargetName !== target.name && marks.notRun) {
@@ -80,12 +86,12 @@
     return reject(fault('wrong-incarnation', `the address now belongs to ${marks.otherTargetName}`));
   }
   if (marks.notRun) {
-    sights.refused(target.id);
+    monitor.recordRefusal(target.id);
     return reject(fault('overloaded', `the target refused the request with status ${wire.status}`));
   }
   const isSuccess = wire.status >= SUCCESS && wire.status < REDIRECT;
   if (isSuccess && (marks.requestId === undefined || !marks.signed)) {
-    sights.failed(target.id);
+    monitor.recordFailure(target.id);
     return reject(fault('answer-mismatch', 'successful answer without a request id or signature'));
   }
   // This status would tell the caller that the request did not run, which the target has not stated.
--- a/packages/relay/src/work/context.ts
+++ b/packages/relay/src/work/context.ts
@@ -6,7 +6,7 @@
 import type { Dialect } from '../dialect/index.js';
 import type { Knowledge } from '@jasmineroute/knowledge';
 import type { TargetSelector } from '../placement/index.js';
-import type { TargetPools, TargetSights } from '../target/index.js';
+import type { TargetPools, TargetMonitor } from '../target/index.js';
 import type { StartupGrace } from './learning.js';
 import type { ServiceBudgets } from './serviceBudgets.js';
 
@@ -15,7 +15,7 @@
   readonly dialect: Dialect;
   readonly knowledge: Knowledge;
   readonly selector: TargetSelector;
-  readonly sights: TargetSights;
+  readonly monitor: TargetMonitor;
   readonly pools: TargetPools;
   readonly budgets: ServiceBudgets;
   readonly copySchedule: CopySchedule;
--- a/packages/relay/src/work/parts.ts
+++ b/packages/relay/src/work/parts.ts
@@ -74,7 +74,7 @@
 
 /** The caches that have the shared parts of a request, for one target. */
 function partHoldersFor(context: RelayContext, job: Job, target: Target): PartHolders {
-  const { knowledge, sights } = context;
+  const { knowledge, monitor } = context;
   const parts = sharedPartsAt(target, job);
   const tokensAt = (address: string): number =>
     leadingTokens(parts, (part) => knowledge.isCached(address, part));
@@ -83,7 +83,7 @@
   const neighbourTargets = knowledge.targets
     .ready(job.service.name)
     .filter(
-      (one) => one.id !== target.id && weightsVersionAt(one, job) === version && !sights.isAvoided(one.id),
+      (one) => one.id !== target.id && weightsVersionAt(one, job) === version && !monitor.isAvoided(one.id),
     );
   const isNear = ({ dataCentre }: Target): number => Number(dataCentre === target.dataCentre);
   const neighbours = [...neighbourTargets]
@@ -105,12 +105,12 @@
 
 /** Load of a store's link: the time to transfer one token and to finish all pending fetches, milliseconds. */
 function linkLoadOf(
-  { sights }: RelayContext,
+  { monitor }: RelayContext,
   { service }: Job,
   { address, configuration }: AssignedStore,
 ): { readonly tokenMs: number; readonly waitMs: number } {
   const tokenMs = tokenFetchMs(configuration, service, address);
-  return { tokenMs, waitMs: linkWaitMs(sights.backlog, address, tokenMs) };
+  return { tokenMs, waitMs: linkWaitMs(monitor.backlog, address, tokenMs) };
 }
 
 /** Availability of a request's shared parts for one target; `store` is the store assigned to the request. */
--- a/packages/relay/src/work/relayWork.ts
+++ b/packages/relay/src/work/relayWork.ts
@@ -298,7 +298,7 @@
   }
 
   private async attempt(job: Job, placement: Placement): Promise<Outcome> {
-    const { clock, log, metrics, sights } = this.context;
+    const { clock, log, metrics, monitor } = this.context;
     const { target } = placement;
     const begunAt = clock.monotonic();
     const { lastEventId } = this.stream;
@@ -306,7 +306,7 @@
     const leftMs = job.until - begunAt;
     const source = job.route.hasPrompt ? sourceFor(this.context, job, target) : undefined;
     const addition = additionFor(this.context, job, target, leftMs, resumeAfterId, source);
-    const open = sights.began(target.id, placement.tokens, fetchOf(source), job.service.name);
+    const open = monitor.startRequest(target.id, placement.tokens, fetchOf(source), job.service.name);
     let outcome: Outcome;
     let status = 0;
     try {
@@ -316,9 +316,9 @@
         ? await this.forward(job, target, sent.value, open)
         : { state: 'fault', fault: sent.error };
     } finally {
-      open.ended();
+      open.finish();
     }
-    if (outcome.state === 'answered') sights.succeeded(target.id);
+    if (outcome.state === 'answered') monitor.recordSuccess(target.id);
     const result = outcome.state === 'answered' ? 'answered' : outcome.fault.kind;
     metrics.count(relayMetrics.attempts, 1, { outcome: result });
     const tookMs = clock.monotonic() - begunAt;
--- a/packages/relay/src/work/stream.ts
+++ b/packages/relay/src/work/stream.ts
@@ -5,7 +5,7 @@
 import type { Target } from '@jasmineroute/knowledge';
 import { EventFramer } from '../answer/index.js';
 import type { CallerAnswer } from '../answer/index.js';
-import { QUIET_MS } from '../target/index.js';
+import { UNRESPONSIVE_MS } from '../target/index.js';
 import type { OpenRequest } from '../target/index.js';
 import type { TargetAnswer } from './attempt.js';
 import type { RelayContext } from './context.js';
@@ -46,10 +46,10 @@
     };
     try {
       for await (const chunk of wire.body) {
-        this.context.sights.heard(target.id);
+        this.context.monitor.recordActivity(target.id);
         const events = framer.push(chunk);
         if (events.length === 0) continue;
-        open.read();
+        open.markRead();
         begin();
         this.recordEvent(target.id, framer.lastId);
         await this.answer.write(events);
@@ -72,7 +72,8 @@
     const now = this.context.clock.monotonic();
     this.lastEventId = eventId;
     if (this.eventAt !== undefined) this.pauseMs = Math.max(this.pauseMs, now - this.eventAt);
-    if (this.targetEventAt !== undefined) this.context.sights.pace.paused(targetId, now - this.targetEventAt);
+    if (this.targetEventAt !== undefined)
+      this.context.monitor.pace.recordPause(targetId, now - this.targetEventAt);
     this.eventAt = now;
     this.targetEventAt = now;
   }
@@ -109,13 +110,13 @@
    * @returns a function that stops watching.
    */
   private watchUnresponsive(target: Target, wire: WireAnswer): () => void {
-    const { sights, clock } = this.context;
+    const { monitor, clock } = this.context;
     let cancelTimer: () => void;
     const check = (): void => {
-      if (sights.isQuiet(target.id) && this.startMove()) wire.abandon();
-      else cancelTimer = clock.after(QUIET_MS / 2, check);
+      if (monitor.isUnresponsive(target.id) && this.startMove()) wire.abandon();
+      else cancelTimer = clock.after(UNRESPONSIVE_MS / 2, check);
     };
-    cancelTimer = clock.after(QUIET_MS, check);
+    cancelTimer = clock.after(UNRESPONSIVE_MS, check);
     return () => {
       cancelTimer();
     };
