--- a/packages/configuration/src/check/check.spec.ts
+++ b/packages/configuration/src/check/check.spec.ts
@@ -17,7 +17,7 @@
   resumable: false,
 };
 
-const sound: Configuration = {
+const validConfiguration: Configuration = {
   number: 3,
   routes: [route],
   services: [{ name: 's1' }],
@@ -25,20 +25,28 @@
 };
 
 describe('a configuration', () => {
-  it('is taken when all parts fit', () => {
-    expect(checkConfiguration(sound)._unsafeUnwrap()).toEqual(sound);
+  it('is accepted when it is valid', () => {
+    expect(checkConfiguration(validConfiguration)._unsafeUnwrap()).toEqual(validConfiguration);
   });
 
   it.each([
     ['an unknown service', { routes: [{ ...route, services: [{ service: 'gone', weight: 1 }] }] }, 'unknown'],
-    ['two routes at one place', { routes: [route, { ...route, host: 'A.example' }] }, 'two routes'],
     [
-      'two routes at one place, one with a port',
+      'two routes with the same host and prefix',
+      { routes: [route, { ...route, host: 'A.example' }] },
+      'two routes',
+    ],
+    [
+      'two routes with the same host and prefix, one with a port',
       { routes: [route, { ...route, host: 'a.example:80' }] },
       'two routes',
     ],
-    ['weights of 0', { routes: [{ ...route, services: [{ service: 's1', weight: 0 }] }] }, 'add up to 0'],
-    ['no time', { routes: [{ ...route, timeoutMs: 0 }] }, 'no time'],
+    [
+      'weights that add up to 0',
+      { routes: [{ ...route, services: [{ service: 's1', weight: 0 }] }] },
+      'add up to 0',
+    ],
+    ['a timeout of 0', { routes: [{ ...route, timeoutMs: 0 }] }, 'route r1 has a timeout of 0'],
     [
       'a shared key',
       {
@@ -50,15 +58,17 @@
       'customers c1 and c2 share a key',
     ],
     ['no routes', { routes: undefined }, 'routes'],
-    ['a number that is no number', { number: 'seven' }, 'number'],
-  ])('is refused with %s', (_title, change, text) => {
-    const refused = checkConfiguration({ ...sound, ...change })._unsafeUnwrapErr();
-    expect(refused.kind).toBe('invalid-document');
-    expect(refused.message).toContain(text);
+    ['a number that is not numeric', { number: 'seven' }, 'number'],
+  ])('is rejected with %s', (_title, change, text) => {
+    const rejected = checkConfiguration({ ...validConfiguration, ...change })._unsafeUnwrapErr();
+    expect(rejected.kind).toBe('invalid-document');
+    expect(rejected.message).toContain(text);
   });
 
   it('names no key in its errors', () => {
     const customers = ['c1', 'c2'].map((name) => ({ name, keys: ['secret-key'], isolated: false }));
-    expect(checkConfiguration({ ...sound, customers })._unsafeUnwrapErr().message).not.toContain('secret');
+    expect(checkConfiguration({ ...validConfiguration, customers })._unsafeUnwrapErr().message).not.toContain(
+      'secret',
+    );
   });
 });
--- a/packages/configuration/src/check/check.ts
+++ b/packages/configuration/src/check/check.ts
@@ -1,4 +1,4 @@
-/** Checks that need more than one field of a configuration. */
+/** Checks of a configuration that involve more than one field. */
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import { err, ok } from 'neverthrow';
@@ -6,62 +6,62 @@
 import { configuration, hostOf } from '../schema/index.js';
 import type { Configuration, Route } from '../schema/index.js';
 
-/** Gives what is wrong, in the words of an operator's error message. */
-type Check = (subject: Configuration) => string[];
+/** Returns the problems found, as messages for the operator. */
+type Rule = (subject: Configuration) => string[];
 
-/** Values that stand more than once. */
-function repeated(values: readonly string[]): string[] {
+/** Values that occur more than once. */
+function duplicatesOf(values: readonly string[]): string[] {
   const seen = new Set<string>();
-  const twice = new Set<string>();
+  const duplicates = new Set<string>();
   for (const value of values) {
-    if (seen.has(value)) twice.add(value);
+    if (seen.has(value)) duplicates.add(value);
     seen.add(value);
   }
-  return [...twice];
+  return [...duplicates];
 }
 
-const placeOf = ({ host, pathPrefix }: Route): string => `${hostOf(host)}${pathPrefix}`;
+const matchKeyOf = ({ host, pathPrefix }: Route): string => `${hostOf(host)}${pathPrefix}`;
 
-const unknownServices: Check = ({ routes, services }) => {
+const unknownServices: Rule = ({ routes, services }) => {
   const known = new Set(services.map(({ name }) => name));
   return routes.flatMap((route) =>
     route.services
       .filter(({ service }) => !known.has(service))
-      .map(({ service }) => `route ${route.name} names the unknown service ${service}`),
+      .map(({ service }) => `route ${route.name} refers to the unknown service ${service}`),
   );
 };
 
-const samePlaces: Check = ({ routes }) =>
-  repeated(routes.map(placeOf)).map((place) => `two routes stand at ${place}`);
+const duplicateMatches: Rule = ({ routes }) =>
+  duplicatesOf(routes.map(matchKeyOf)).map((matchKey) => `two routes match ${matchKey}`);
 
-const noWeight: Check = ({ routes }) =>
+const zeroWeights: Rule = ({ routes }) =>
   routes
     .filter(({ services }) => services.reduce((sum, { weight }) => sum + weight, 0) === 0)
     .map(({ name }) => `the weights of route ${name} add up to 0`);
 
-const noTime: Check = ({ routes }) =>
-  routes.filter(({ timeoutMs }) => timeoutMs === 0).map(({ name }) => `route ${name} has no time`);
+const zeroTimeouts: Rule = ({ routes }) =>
+  routes.filter(({ timeoutMs }) => timeoutMs === 0).map(({ name }) => `route ${name} has a timeout of 0`);
 
-/** The key itself is a secret: only the customers are named. */
-const sharedKeys: Check = ({ customers = [] }) => {
+/** The key itself is secret, so the message names only the customers. */
+const sharedKeys: Rule = ({ customers = [] }) => {
   const keys = customers.flatMap((customer) => [...new Set(customer.keys)]);
-  const shared = repeated(keys);
-  return shared.map((key) => {
+  const duplicates = duplicatesOf(keys);
+  return duplicates.map((key) => {
     const holders = customers.filter((customer) => customer.keys.includes(key)).map(({ name }) => name);
     return `customers ${holders.join(' and ')} share a key`;
   });
 };
 
-const checks: readonly Check[] = [unknownServices, samePlaces, noWeight, noTime, sharedKeys];
+const rules: readonly Rule[] = [unknownServices, duplicateMatches, zeroWeights, zeroTimeouts, sharedKeys];
 
-/** A configuration from decoded data. Errors: invalid-document, with every problem in one message. */
+/** Checks decoded data and returns the configuration. Errors: invalid-document, with all problems in one message. */
 export function checkConfiguration(data: unknown): Result<Configuration, Fault> {
   const parsed = configuration.safeParse(data);
   if (!parsed.success) {
     const problems = parsed.error.issues.map(({ path, message }) => `${path.join('.')}: ${message}`);
     return err(fault('invalid-document', problems.join('; ')));
   }
-  const problems = checks.flatMap((check) => check(parsed.data));
+  const problems = rules.flatMap((rule) => rule(parsed.data));
   if (problems.length > 0) return err(fault('invalid-document', problems.join('; ')));
   return ok(parsed.data);
 }
--- a/packages/configuration/src/schema/host.ts
+++ b/packages/configuration/src/schema/host.ts
@@ -1,2 +1,2 @@
-/** Hosts of routes and requests are compared without port and case. */
+/** A host without its port, in lower case, as routes and requests are compared. */
 export const hostOf = (host: string): string => host.replace(/:\d+$/, '').toLowerCase();
--- a/packages/configuration/src/schema/schema.ts
+++ b/packages/configuration/src/schema/schema.ts
@@ -1,20 +1,20 @@
-/** What a numbered configuration holds: routes, services, customers and limits, replaced as a whole. */
+/** Schema of a numbered configuration: routes, services, customers and limits, which are always replaced together. */
 import * as z from 'zod';
 
-/** Largest number that arithmetic keeps exact. */
+/** A non-negative integer up to the largest that JavaScript represents exactly. */
 const wholeNumber = z.number().int().min(0).max(Number.MAX_SAFE_INTEGER);
 const milliseconds = z.number().min(0);
 const name = z.string().min(1);
 
 /**
- * What may be done with a request that failed:
+ * Whether a failed request may be retried:
  * - idempotent: it may run more than once;
- * - once: it runs at most once for each request id;
- * - stream: an answer of events; runs at most once, unless it is resumable.
+ * - once: it runs at most once per request id;
+ * - stream: its answer is a stream of events; it runs at most once, unless the stream is resumable.
  */
 export const routeKinds = ['idempotent', 'once', 'stream'] as const;
 
-/** A share of a route's requests for one service. Shares count against their sum. */
+/** The share of a route's requests that goes to one service, as a weight relative to the sum of all weights. */
 export const share = z.object({ service: name, weight: z.number().min(0) });
 
 /** Where requests of one host and path prefix go. */
@@ -24,32 +24,32 @@
   /** Begins and ends with a slash. */
   pathPrefix: z.string().startsWith('/').endsWith('/'),
   kind: z.enum(routeKinds),
-  /** Longest time that a caller is kept waiting, milliseconds. */
+  /** Maximum time that a caller is kept waiting, milliseconds. */
   timeoutMs: milliseconds,
-  /** Time for the first byte within which an answer is fully useful, milliseconds. */
+  /** Latency objective for the first byte, milliseconds; later answers are less useful to the caller. */
   objectiveMs: milliseconds,
-  /** Longest pause between two events of a stream that is still on time, milliseconds. */
+  /** Maximum pause between two events of a stream that counts as on time, milliseconds. */
   pauseMs: milliseconds.optional(),
   /** 0 is the most urgent. */
   priority: wholeNumber,
   services: z.array(share).min(1),
-  /** Targets to which one request may be sent. */
+  /** Maximum number of targets to which one request is sent. */
   maxAttempts: z.number().int().min(1),
   /** Whether callers need no key. */
   open: z.boolean(),
-  /** Whether requests describe a prompt whose parts are worth finding in a cache. */
+  /** Whether requests describe a prompt whose parts may be cached. */
   hasPrompt: z.boolean(),
-  /** Whether a stream may go on at another target after the last event that the caller has. */
+  /** Whether another target can resume a stream after the last event that the caller received. */
   resumable: z.boolean(),
 });
 
-/** Size and manner of the model engines of a service. */
+/** Capacity and models of the engines of a service. */
 export const engine = z.object({
-  /** Requests that run at once. */
+  /** Maximum number of concurrent requests. */
   slots: z.number().int().min(1),
   /** Prompt and output tokens that fit in memory. */
   cacheTokens: z.number().min(0),
-  /** Bytes of memory of one token. */
+  /** Memory of one token, bytes. */
   tokenBytes: z.number().optional(),
   models: z.array(z.object({ name })),
 });
@@ -57,30 +57,30 @@
 /** A service, and how its targets are reached. */
 export const service = z.object({
   name,
-  /** Path that answers 200 while a target is healthy. */
+  /** Path that returns 200 while a target is healthy. */
   healthPath: z.string().optional(),
-  /** Connections that one target takes from all callers together. */
+  /** Maximum number of connections that one target accepts from all entries together. */
   maxConnections: z.number().int().min(1).optional(),
   engine: engine.optional(),
-  /** The address of a store of kept KV cache, host:port; such a service has no targets. */
+  /** Address of a KV cache store, host:port; such a service has no targets. */
   storeAddress: z.string().optional(),
-  /** Tokens that a store has room for. */
+  /** Capacity of a store, tokens. */
   cacheTokens: z.number().min(0).optional(),
   /** Speed of a store's link, Mbit/s. */
   linkMbps: z.number().optional(),
 });
 
-/** A customer and the keys that name it. */
+/** A customer and its API keys. */
 export const customer = z.object({
   name,
   keys: z.array(z.string().min(1)),
-  /** Goes before the route's priority. */
+  /** Overrides the route's priority. */
   priority: wholeNumber.optional(),
-  /** Whether its cache entries are shared with nobody. */
+  /** Whether its cache entries are isolated from other customers. */
   isolated: z.boolean(),
 });
 
-/** What a caller may send, and how long it may take. */
+/** Limits for callers' requests. */
 export const limits = z.object({
   maxHeaderBytes: wholeNumber,
   maxBodyBytes: wholeNumber,
@@ -88,26 +88,26 @@
   idleTimeoutMs: milliseconds,
 });
 
-/** A whole configuration. */
+/** A complete configuration. */
 export const configuration = z.object({
   /** Higher numbers replace lower ones. */
   number: wholeNumber,
   routes: z.array(route),
   services: z.array(service),
-  /** Absent: nobody needs a key. */
+  /** If absent, no request needs a key. */
   customers: z.array(customer).optional(),
   limits: limits.optional(),
 });
 
-/** A whole configuration. */
+/** A complete configuration. */
 export type Configuration = z.output<typeof configuration>;
 /** Where requests of one host and path prefix go. */
 export type Route = z.output<typeof route>;
-/** What may be done with a request that failed. */
+/** Whether a failed request may be retried. */
 export type RouteKind = Route['kind'];
 /** A service, and how its targets are reached. */
 export type Service = z.output<typeof service>;
 /** A customer and its keys. */
 export type Customer = z.output<typeof customer>;
-/** What a caller may send. */
+/** Limits for callers' requests. */
 export type Limits = z.output<typeof limits>;
