--- a/packages/relay/src/cache/copies.spec.ts
+++ b/packages/relay/src/cache/copies.spec.ts
@@ -13,10 +13,9 @@
 
 describe('copies to the store', () => {
   it('copies only what the store lacks', () => {
-    // Each entry used to copy a part every 8 s, along with the request's own part, without knowing what the others
-    // had copied. With eight entries and 36 requests a second over 177 shared parts, the store turned over before a
-    // part was requested again: a seventh of the shared parts were read again although the store had room for all of
-    // them.
+    // If each entry copies a part every 8 s, along with the request's own part, without knowing what the others have
+    // copied, the store turns over before a part is requested again. With eight entries and 36 requests a second over
+    // 177 shared parts, a seventh of the shared parts were read again although the store had room for all of them.
     const kept = new Set(['old']);
     const schedule = new CopySchedule(new ManualClock(), (_store, { part: id }) => kept.has(id));
     expect(schedule.isDue(STORE, prompt('old'), 's')).toBe(false);
--- a/packages/relay/src/dialect/dialect.ts
+++ b/packages/relay/src/dialect/dialect.ts
@@ -92,7 +92,7 @@
 export interface Dialect {
   readRequest(incoming: IncomingMessage): Result<RelayRequest, Fault>;
   /** Headers of the request to a target. */
-  targetHeaders(request: RelayRequest, addition: Addition): Record<string, string>;
+  targetHeaders(request: RelayRequest, addedFields: Addition): Record<string, string>;
   readAnswer(status: number, headers: readonly HeaderField[]): AnswerMarks;
   /** Headers of a target's answer that are forwarded to the caller. */
   callerHeaders(headers: readonly HeaderField[]): HeaderField[];
--- a/packages/relay/src/relay.spec.ts
+++ b/packages/relay/src/relay.spec.ts
@@ -410,8 +410,7 @@
     expect(source()).toBe('');
   });
 
-  // Guards against delays of some hundred milliseconds in all first tokens, caused by fetches from a store that is
-  // down or for prompts without shared parts.
+  // Guards against delays of some hundred milliseconds in all first tokens.
   it('sets a reachable store as the source and copy destination, and none for a prompt without shared parts', async () => {
     const store = '127.0.0.1:9';
     const services = [{ name: 's' }, { name: 'kept', storeAddress: store }];
--- a/packages/relay/src/work/addition.ts
+++ b/packages/relay/src/work/addition.ts
@@ -13,7 +13,7 @@
  * The fields to add for one attempt. `leftMs` is the request's remaining time, `resumeAfter` the id of the event
  * after which a stream resumes, and `source` the cache that the target fetches from.
  */
-export function additionFor(
+export function addedFieldsFor(
   context: RelayContext,
   job: Job,
   target: Target,
--- a/packages/relay/src/work/attempt.ts
+++ b/packages/relay/src/work/attempt.ts
@@ -26,7 +26,7 @@
 /** A target's answer whose status and headers match the request. */
 export interface TargetAnswer {
   readonly wire: WireAnswer;
-  readonly marks: AnswerMarks;
+  readonly metadata: AnswerMarks;
 }
 
 const SUCCESS = 200;
@@ -37,14 +37,14 @@
   context: RelayContext,
   job: Job,
   target: Target,
-  addition: Addition,
+  addedFields: Addition,
   signal: AbortSignal,
 ): Promise<Result<TargetAnswer, Fault>> {
   const { dialect, pools, knowledge, monitor, clock, stalls } = context;
   const { request, service, body } = job;
   const maxConnections = connectionShare(service.maxConnections, knowledge.entries());
   const { method, path } = request;
-  const headers = dialect.targetHeaders(request, addition);
+  const headers = dialect.targetHeaders(request, addedFields);
   const wireRequest = { method, path, headers, body };
   const wire = await exchange(
     pools.poolFor(target, maxConnections).pool(),
@@ -70,27 +70,27 @@
   wire: WireAnswer,
 ): Result<TargetAnswer, Fault> {
   const { dialect, monitor, knowledge } = context;
-  const marks = dialect.readAnswer(wire.status, wire.headers);
-  if (marks.load !== undefined) monitor.recordLoad(target.id, marks.load);
+  const metadata = dialect.readAnswer(wire.status, wire.headers);
+  if (metadata.load !== undefined) monitor.recordLoad(target.id, metadata.load);
   const reject = (problem: Fault): Result<TargetAnswer, Fault> => {
     wire.abandon();
     return err(problem);
   };
   // A late answer to an earlier request says nothing about this request.
-  if (marks.requestId !== undefined && marks.requestId !== request.id) {
+  if (metadata.requestId !== undefined && metadata.requestId !== request.id) {
     monitor.recordFailure(target.id);
     return reject(fault('answer-mismatch', 'the target sent the answer to another request'));
   }
-  if (marks.otherTargetName !== undefined && marks.otherTargetName !== target.name && marks.notRun) {
+  if (metadata.otherTargetName !== undefined && metadata.otherTargetName !== target.name && metadata.notRun) {
     knowledge.targets.replaced(target.id);
-    return reject(fault('wrong-incarnation', `the address now belongs to ${marks.otherTargetName}`));
+    return reject(fault('wrong-incarnation', `the address now belongs to ${metadata.otherTargetName}`));
   }
-  if (marks.notRun) {
+  if (metadata.notRun) {
     monitor.recordRefusal(target.id);
     return reject(fault('overloaded', `the target refused the request with status ${wire.status}`));
   }
   const isSuccess = wire.status >= SUCCESS && wire.status < REDIRECT;
-  if (isSuccess && (marks.requestId === undefined || !marks.signed)) {
+  if (isSuccess && (metadata.requestId === undefined || !metadata.signed)) {
     monitor.recordFailure(target.id);
     return reject(fault('answer-mismatch', 'successful answer without a request id or signature'));
   }
@@ -103,5 +103,5 @@
       ),
     );
   }
-  return ok({ wire, marks });
+  return ok({ wire, metadata });
 }
--- a/packages/relay/src/work/relayWork.ts
+++ b/packages/relay/src/work/relayWork.ts
@@ -13,7 +13,7 @@
 import { relayMetrics } from '../metrics.js';
 import { drawService, eligibleByWeights } from '../placement/index.js';
 import type { Placement, PlacementInput } from '../placement/index.js';
-import { additionFor } from './addition.js';
+import { addedFieldsFor } from './addition.js';
 import { admit } from './admit.js';
 import type { Admitted } from './admit.js';
 import { send } from './attempt.js';
@@ -305,12 +305,12 @@
     const resumeAfterId = lastEventId === undefined ? job.request.lastEventId : String(lastEventId);
     const leftMs = job.until - begunAt;
     const source = job.route.hasPrompt ? sourceFor(this.context, job, target) : undefined;
-    const addition = additionFor(this.context, job, target, leftMs, resumeAfterId, source);
+    const addedFields = addedFieldsFor(this.context, job, target, leftMs, resumeAfterId, source);
     const open = monitor.startRequest(target.id, placement.tokens, fetchOf(source), job.service.name);
     let outcome: Outcome;
     let status = 0;
     try {
-      const sent = await send(this.context, job, target, addition, this.abort.signal);
+      const sent = await send(this.context, job, target, addedFields, this.abort.signal);
       if (sent.isOk()) status = sent.value.wire.status;
       outcome = sent.isOk()
         ? await this.forward(job, target, sent.value, open)
@@ -322,7 +322,7 @@
     const result = outcome.state === 'answered' ? 'answered' : outcome.fault.kind;
     metrics.count(relayMetrics.attempts, 1, { outcome: result });
     const tookMs = clock.monotonic() - begunAt;
-    const finished = { job, placement, addition, outcome, status, send: this.sends, tookMs };
+    const finished = { job, placement, addedFields, outcome, status, send: this.sends, tookMs };
     log.event(relayEvents.attempted, attemptRecord(finished, this.stream, this.answer));
     return outcome;
   }
--- a/packages/relay/src/work/report.ts
+++ b/packages/relay/src/work/report.ts
@@ -10,7 +10,7 @@
 export interface Attempt {
   readonly job: Job;
   readonly placement: Placement;
-  readonly addition: Addition;
+  readonly addedFields: Addition;
   readonly outcome: Outcome;
   /** Status of the target's answer; 0 if there was none. */
   readonly status: number;
@@ -21,7 +21,7 @@
 
 /** Fields of the log line for an attempt. */
 export function attemptRecord(
-  { job, placement, addition, outcome, status, send, tookMs }: Attempt,
+  { job, placement, addedFields, outcome, status, send, tookMs }: Attempt,
   stream: Stream,
   answer: CallerAnswer,
 ): Record<string, unknown> {
@@ -34,12 +34,12 @@
     target: target.id,
     ...decision,
     send,
-    deadlineMs: Math.round(addition.deadlineMs),
+    deadlineMs: Math.round(addedFields.deadlineMs),
     outcome: outcome.state === 'answered' ? 'answered' : outcome.fault.kind,
     problem: outcome.state === 'answered' ? undefined : outcome.fault.message,
     status,
-    source: addition.cacheSource,
-    copied: addition.cacheCopy !== undefined,
+    source: addedFields.cacheSource,
+    copied: addedFields.cacheCopy !== undefined,
     events: stream.lastEventId,
     pauseMs: Math.round(stream.pauseMs),
     tookMs: Math.round(tookMs),
