--- a/packages/relay/src/answer/eventPieces.spec.ts
+++ b/packages/relay/src/answer/eventFramer.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { EventFramer } from './eventPieces.js';
+import { EventFramer } from './eventFramer.js';
 
 const push = (framer: EventFramer, text: string): string =>
   Buffer.from(framer.push(Buffer.from(text))).toString();
--- a/packages/relay/src/answer/index.ts
+++ b/packages/relay/src/answer/index.ts
@@ -1,2 +1,2 @@
 export * from './callerAnswer.js';
-export * from './eventPieces.js';
+export * from './eventFramer.js';
--- a/packages/relay/src/cache/copies.spec.ts
+++ b/packages/relay/src/cache/copySchedule.spec.ts
@@ -1,6 +1,6 @@
 import { ManualClock } from '@jasmineroute/core';
 import { describe, expect, it } from 'vitest';
-import { CopySchedule } from './copies.js';
+import { CopySchedule } from './copySchedule.js';
 
 const STORE = '10.0.0.9:80';
 const part = (id: string, tokens: number) => ({ id, tokens });
--- a/packages/relay/src/cache/index.ts
+++ b/packages/relay/src/cache/index.ts
@@ -1,4 +1,4 @@
-export * from './copies.js';
+export * from './copySchedule.js';
 export * from './storeLink.js';
 export * from './source.js';
 export * from './stores.js';
--- a/packages/relay/src/placement/index.ts
+++ b/packages/relay/src/placement/index.ts
@@ -1,3 +1,3 @@
-export * from './lack.js';
+export * from './prefillCost.js';
 export * from './placement.js';
 export * from './weights.js';
--- a/packages/relay/src/placement/placement.spec.ts
+++ b/packages/relay/src/placement/placement.spec.ts
@@ -8,7 +8,7 @@
 import { TargetMonitor } from '../target/index.js';
 import { TargetSelector, drawService } from './placement.js';
 import type { Placement, PlacementInput } from './placement.js';
-import type { PartsLocation } from './lack.js';
+import type { PartsLocation } from './prefillCost.js';
 import { eligibleByWeights } from './weights.js';
 
 const target = (id: string, version = 1, dataCentre = 'here'): Target => ({
--- a/packages/relay/src/placement/placement.ts
+++ b/packages/relay/src/placement/placement.ts
@@ -4,8 +4,8 @@
 import type { PromptOutline } from '../dialect/index.js';
 import type { Target } from '@jasmineroute/knowledge';
 import type { TargetMonitor } from '../target/index.js';
-import { UNKNOWN_AVAILABILITY, homeOf, prefillCostOf } from './lack.js';
-import type { PrefillCost, PartsLocation, PartsAvailability } from './lack.js';
+import { UNKNOWN_AVAILABILITY, homeOf, prefillCostOf } from './prefillCost.js';
+import type { PrefillCost, PartsLocation, PartsAvailability } from './prefillCost.js';
 
 /** Cost of each open request at a target, in tokens: it lengthens every engine step and occupies a slot. */
 const REQUEST_COST_TOKENS = 200;
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -15,7 +15,7 @@
 import { TargetPools, TargetMonitor, WorkReporter } from './target/index.js';
 import { RequestHandler } from './work/index.js';
 import type { RelayContext } from './work/index.js';
-import { StartupGrace } from './work/learning.js';
+import { StartupGrace } from './work/startupGrace.js';
 import { ServiceBudgets } from './work/serviceBudgets.js';
 
 /** Timeouts for callers until a configuration sets others. */
--- a/packages/relay/src/target/index.ts
+++ b/packages/relay/src/target/index.ts
@@ -1,5 +1,5 @@
 export * from './backlog.js';
 export * from './pace.js';
 export * from './targetPools.js';
-export * from './targetState.js';
+export * from './targetMonitor.js';
 export * from './workReporter.js';
--- a/packages/relay/src/work/addition.ts
+++ b/packages/relay/src/work/addedFields.ts
@@ -4,7 +4,7 @@
 import type { Addition } from '../dialect/index.js';
 import type { Job } from './attempt.js';
 import type { RelayContext } from './context.js';
-import { cacheSaltAt, assignedStore, weightsVersionAt } from './parts.js';
+import { cacheSaltAt, assignedStore, weightsVersionAt } from './sharedParts.js';
 
 /** Lowest urgency that targets accept. */
 const LOWEST_URGENCY = 9;
--- a/packages/relay/src/work/context.ts
+++ b/packages/relay/src/work/context.ts
@@ -7,7 +7,7 @@
 import type { Knowledge } from '@jasmineroute/knowledge';
 import type { TargetSelector } from '../placement/index.js';
 import type { TargetPools, TargetMonitor } from '../target/index.js';
-import type { StartupGrace } from './learning.js';
+import type { StartupGrace } from './startupGrace.js';
 import type { ServiceBudgets } from './serviceBudgets.js';
 
 /** State and services shared by all requests of one relay. */
--- a/packages/relay/src/work/index.ts
+++ b/packages/relay/src/work/index.ts
@@ -1,3 +1,3 @@
 export * from './attempt.js';
 export * from './context.js';
-export * from './relayWork.js';
+export * from './requestHandler.js';
--- a/packages/relay/src/work/report.ts
+++ b/packages/relay/src/work/report.ts
@@ -3,7 +3,7 @@
 import type { Addition } from '../dialect/index.js';
 import type { Placement } from '../placement/index.js';
 import type { Job } from './attempt.js';
-import type { Outcome } from './pass.js';
+import type { Outcome } from './forward.js';
 import type { Stream } from './stream.js';
 
 /** One finished attempt of a request. */
--- a/packages/relay/src/work/learning.spec.ts
+++ b/packages/relay/src/work/startupGrace.spec.ts
@@ -3,7 +3,7 @@
 import { Knowledge } from '@jasmineroute/knowledge';
 import { controlMessage } from '@jasmineroute/protocol';
 import { beforeEach, describe, expect, it } from 'vitest';
-import { STARTUP_GRACE_MS, StartupGrace } from './learning.js';
+import { STARTUP_GRACE_MS, StartupGrace } from './startupGrace.js';
 
 /** Truncates timer delays to whole milliseconds, as Node's timers do. */
 class WholeMillisecondClock extends ManualClock {
--- a/packages/relay/src/work/stream.ts
+++ b/packages/relay/src/work/stream.ts
@@ -9,8 +9,8 @@
 import type { OpenRequest } from '../target/index.js';
 import type { TargetAnswer } from './attempt.js';
 import type { RelayContext } from './context.js';
-import { interrupted } from './pass.js';
-import type { Outcome } from './pass.js';
+import { interrupted } from './forward.js';
+import type { Outcome } from './forward.js';
 
 /** How long a stream that leaves a target waits for its next event, milliseconds: some steps of a busy engine. */
 const MOVE_TIMEOUT_MS = 250;
