--- a/packages/knowledge/src/knowledge.spec.ts
+++ b/packages/knowledge/src/clusterView.spec.ts
@@ -2,7 +2,7 @@
 import { ManualClock, silentLog } from '@jasmineroute/core';
 import { controlMessage, partKey } from '@jasmineroute/protocol';
 import { describe, expect, it } from 'vitest';
-import { Knowledge } from './knowledge.js';
+import { Knowledge } from './clusterView.js';
 
 const content = (number: number): Uint8Array =>
   Buffer.from(JSON.stringify({ number, routes: [], services: [] }));
@@ -13,7 +13,7 @@
 const named = (version: number, ageMs: number): controlMessage.NamedWeights =>
   create(controlMessage.NamedWeightsSchema, { model: 'm', version: BigInt(version), ageMs });
 
-describe('knowledge', () => {
+describe('the view of the cluster', () => {
   it('never goes back to an older configuration', () => {
     const knowledge = new Knowledge(new ManualClock(), silentLog);
     knowledge.apply('c1', event({ number: 5n, content: content(5) }), true);
@@ -21,10 +21,9 @@
     expect(knowledge.table()?.number).toBe(5);
   });
 
-  it('is confirmed only by an instance in touch with a quorum', () => {
-    // Symptom: an entry that has just started serves by a configuration that was replaced.
-    // Sequence: it starts beside a control instance that is cut off from the others.
-    // Cause: the first answer counted, whoever gave it.
+  it('is confirmed only by an instance in contact with a quorum', () => {
+    // Guards against an entry that serves by an outdated configuration, as it starts beside a control instance that is cut
+    // off from the others.
     const knowledge = new Knowledge(new ManualClock(), silentLog);
     knowledge.apply('c1', event({ vouched: false, number: 5n, content: content(5) }), true);
     expect(knowledge.confirmed()).toBe(false);
@@ -32,7 +31,7 @@
     expect(knowledge.confirmed()).toBe(true);
   });
 
-  it('counts weights as replaced from the first newer naming on', async () => {
+  it('counts weights as stale from the first request of a newer version on', async () => {
     const clock = new ManualClock();
     const knowledge = new Knowledge(clock, silentLog);
     await clock.advance(10_000);
@@ -45,30 +44,30 @@
     expect(knowledge.staleSince('m', 3)).toBeUndefined();
   });
 
-  it('knows what stores keep from whoever tells it, and forgets what a lost instance told', () => {
+  it('holds what stores keep while the reporting control instance is followed', () => {
     const knowledge = new Knowledge(new ManualClock(), silentLog);
     const part = { salt: 's', model: 'm', part: 'a' };
-    const told = (change: Partial<controlMessage.KeptChanges>) =>
+    const reported = (change: Partial<controlMessage.KeptChanges>) =>
       event({ kept: Object.assign(create(controlMessage.KeptChangesSchema, {}), change) });
     expect(knowledge.isKept('store', part)).toBeUndefined();
-    knowledge.apply('c1', told({ whole: true, added: [partKey('store', part), 7] }), true);
+    knowledge.apply('c1', reported({ whole: true, added: [partKey('store', part), 7] }), true);
     expect(knowledge.isKept('store', part)).toBe(true);
     expect(knowledge.isKept('other', part)).toBe(false);
-    knowledge.apply('c1', told({ dropped: [partKey('store', part)] }), false);
+    knowledge.apply('c1', reported({ dropped: [partKey('store', part)] }), false);
     expect(knowledge.isKept('store', part)).toBe(false);
     knowledge.lost('c1');
     expect(knowledge.isKept('store', part)).toBeUndefined();
   });
 
-  it('knows the caches of targets from several instances at once', () => {
+  it('merges the caches of targets that several instances report', () => {
     const knowledge = new Knowledge(new ManualClock(), silentLog);
     const part = { salt: 's', model: 'm', part: 'a' };
-    const told = (address: string) =>
+    const reported = (address: string) =>
       event({
         cached: create(controlMessage.KeptChangesSchema, { whole: true, added: [partKey(address, part)] }),
       });
-    knowledge.apply('c1', told('t1'), true);
-    knowledge.apply('c2', told('t2'), true);
+    knowledge.apply('c1', reported('t1'), true);
+    knowledge.apply('c2', reported('t2'), true);
     expect(['t1', 't2', 't3'].map((address) => knowledge.isCached(address, part))).toEqual([
       true,
       true,
--- a/packages/knowledge/src/knowledge.ts
+++ b/packages/knowledge/src/clusterView.ts
@@ -1,4 +1,4 @@
-/** What a process knows from control: the configuration in force, named weights and targets. */
+/** A process's view of the cluster, as received from control: the configuration in force, requested weights and targets. */
 import { configuration, routingTable } from '@jasmineroute/configuration';
 import type { RoutingTable } from '@jasmineroute/configuration';
 import type { Clock, Log } from '@jasmineroute/core';
@@ -6,37 +6,37 @@
 import type { StoredPart, controlMessage } from '@jasmineroute/protocol';
 import { knowledgeEvents } from './events.js';
 import type { Listener } from './followTask.js';
-import { readShared } from './sharedNews.js';
+import { readShared } from './sharedEvents.js';
 import { TargetList } from './targetList.js';
 
 const decoder = new TextDecoder();
 
-/** Versions of a model that are remembered: one each second for longer than any target lags. */
-const MOST_VERSIONS = 32;
+/** Versions kept per model: enough for one a second for longer than any target lags behind. */
+const MAX_VERSIONS = 32;
 
-/** A version of weights and when it was named. */
+/** A requested version of weights. */
 export interface NamedVersion {
   readonly version: number;
-  /** Monotonic time, as early as any control instance knows. */
+  /** Monotonic time of the request, the earliest that any control instance reports. */
   readonly namedAt: number;
 }
 
-/** Replaced piece by piece by what control instances tell; never goes back to an older configuration. */
+/** Updated by the events of control instances; never goes back to an older configuration. */
 export class Knowledge implements Listener {
   readonly targets: TargetList;
   private current: RoutingTable | undefined;
   private isConfirmed = false;
-  /** By model, the newest first. */
-  private readonly named = new Map<string, NamedVersion[]>();
+  /** Requested versions by model, the newest first. */
+  private readonly namedVersions = new Map<string, NamedVersion[]>();
   private readonly entryCounts = new Map<string, number>();
   private readonly lostStores = new Map<string, readonly string[]>();
-  /** Control instances that a followed one hears, by that one. */
-  private readonly heardBy = new Map<string, readonly string[]>();
-  /** What stores keep, and what targets have in their caches, by the control instance that tells it. */
+  /** Control instances whose state a followed instance relays, by the followed instance. */
+  private readonly relayedControls = new Map<string, readonly string[]>();
+  /** Keys of parts that stores keep and that targets have in their caches, by the control instance that reports them. */
   private readonly kept = new Map<string, Set<number>>();
   private readonly cached = new Map<string, Set<number>>();
-  private readonly listeners = new Set<() => void>();
-  private readonly newsListeners = new Set<() => void>();
+  private readonly changeListeners = new Set<() => void>();
+  private readonly eventListeners = new Set<() => void>();
   private readonly loadListeners = new Set<(load: controlMessage.TargetLoad) => void>();
   private readonly workListeners = new Set<(work: controlMessage.EntryWork) => void>();
 
@@ -58,96 +58,96 @@
   }
 
   /**
-   * Whether a quorum has confirmed since the start that what is held is the newest. Without that, a process that
-   * starts beside an isolated control instance would serve by an old configuration.
+   * Whether a quorum has confirmed since the start that the state held is the newest. Without that, a process that starts
+   * beside an isolated control instance would serve by an outdated configuration.
    */
   confirmed(): boolean {
     return this.isConfirmed;
   }
 
-  /** The newest version of a model's weights that was named. */
+  /** The newest requested version of a model's weights. */
   weightsOf(model: string): NamedVersion | undefined {
-    return this.named.get(model)?.[0];
+    return this.namedVersions.get(model)?.[0];
   }
 
-  /** Monotonic time at which a version was first overtaken by a newer one; undefined when it is the newest. */
+  /** Monotonic time at which a version was first superseded by a newer one; undefined when it is the newest. */
   staleSince(model: string, version: number): number | undefined {
-    const newer = (this.named.get(model) ?? []).filter((one) => one.version > version);
+    const newer = (this.namedVersions.get(model) ?? []).filter((one) => one.version > version);
     return newer.length === 0 ? undefined : Math.min(...newer.map(({ namedAt }) => namedAt));
   }
 
-  /** Models whose weights were named. */
+  /** Models with a requested version of weights. */
   models(): string[] {
-    return [...this.named.keys()];
+    return [...this.namedVersions.keys()];
   }
 
-  /** Entries that serve callers now, this one included. */
+  /** Number of entries that serve callers now, this one included. */
   entries(): number {
     return Math.max(1, ...this.entryCounts.values());
   }
 
-  /** Calls back after each new configuration and each naming of weights. Returns the way to stop. */
+  /** Subscribes to new configurations and requested weights. Returns a function that unsubscribes. */
   onChange(listener: () => void): () => void {
-    this.listeners.add(listener);
-    return () => this.listeners.delete(listener);
+    this.changeListeners.add(listener);
+    return () => this.changeListeners.delete(listener);
   }
 
-  /** Whether some control instance finds that a store of kept cache does not answer. */
+  /** Whether some control instance reports that a cache store does not answer. */
   isStoreLost(address: string): boolean {
     return [...this.lostStores.values()].some((lost) => lost.includes(address));
   }
 
-  /** Whether a store keeps a part of a prompt; undefined while nobody tells what it keeps. */
+  /** Whether a store keeps a part of a prompt; undefined while no control instance reports kept parts. */
   isKept(store: string, part: StoredPart): boolean | undefined {
     return this.kept.size === 0 ? undefined : hasKey(this.kept, partKey(store, part));
   }
 
-  /** Whether a target is told to have a part of a prompt in its cache. */
+  /** Whether a target is reported to have a part of a prompt in its cache. */
   isCached(address: string, part: StoredPart): boolean {
     return hasKey(this.cached, partKey(address, part));
   }
 
-  /** Calls back after each event of a control instance. Returns the way to stop. */
+  /** Subscribes to the events of control instances; called after each is applied. Returns a function that unsubscribes. */
   onNews(listener: () => void): () => void {
-    this.newsListeners.add(listener);
-    return () => this.newsListeners.delete(listener);
+    this.eventListeners.add(listener);
+    return () => this.eventListeners.delete(listener);
   }
 
-  /** Calls back with each load that is told. Returns the way to stop. */
+  /** Subscribes to reported loads. Returns a function that unsubscribes. */
   onLoad(listener: (load: controlMessage.TargetLoad) => void): () => void {
     this.loadListeners.add(listener);
     return () => this.loadListeners.delete(listener);
   }
 
-  /** Calls back with each work that another entry told. Returns the way to stop. */
+  /** Subscribes to the work that other entries report. Returns a function that unsubscribes. */
   onWork(listener: (work: controlMessage.EntryWork) => void): () => void {
     this.workListeners.add(listener);
     return () => this.workListeners.delete(listener);
   }
 
-  /** Takes an event of a control instance; `whole`: the first of its stream. */
-  apply(control: string, event: controlMessage.FollowEvent, whole: boolean): void {
+  /** Applies an event of a control instance; `isFirst`: the first of its stream. */
+  apply(control: string, event: controlMessage.FollowEvent, isFirst: boolean): void {
     this.configure(event);
     this.nameWeights(event.weights);
     this.entryCounts.set(control, event.entries);
     this.lostStores.set(control, event.lostStores);
-    if (event.shared.length === 0) this.take(control, event, whole);
-    for (const news of readShared(event)) this.take(control, news, news.whole);
+    if (event.shared.length === 0) this.applyUpdate(control, event, isFirst);
+    for (const shared of readShared(event)) this.applyUpdate(control, shared, shared.whole);
     if (event.vouched && !this.isConfirmed) {
       this.isConfirmed = true;
       this.log.event(knowledgeEvents.confirmed, { control, number: this.current?.number });
     }
-    for (const listener of this.newsListeners) listener();
+    for (const listener of this.eventListeners) listener();
   }
 
-  /** Takes what an event tells of targets, loads, work and caches; `whole`: all that the control instance knows. */
-  private take(control: string, event: controlMessage.FollowEvent, whole: boolean): void {
-    if (event.kept !== undefined) note(this.kept, control, event.kept);
-    if (event.cached !== undefined) note(this.cached, control, event.cached);
+  /** Applies an event's targets, loads, work and caches; `isSnapshot`: the whole state of the control instance. */
+  private applyUpdate(control: string, event: controlMessage.FollowEvent, isSnapshot: boolean): void {
+    if (event.kept !== undefined) applyKeyChanges(this.kept, control, event.kept);
+    if (event.cached !== undefined) applyKeyChanges(this.cached, control, event.cached);
     for (const load of event.loads) for (const listener of this.loadListeners) listener(load);
     for (const work of event.work) for (const listener of this.workListeners) listener(work);
-    if (whole || event.targets.length > 0) this.targets.apply(control, event.targets, whole);
-    this.relay(control, event, whole);
+    if (isSnapshot || event.targets.length > 0) this.targets.apply(control, event.targets, isSnapshot);
+    this.applyRelayed(control, event, isSnapshot);
   }
 
   /** The stream of a control instance ended. */
@@ -157,21 +157,26 @@
     this.kept.delete(control);
     this.cached.delete(control);
     this.targets.lost(control);
-    for (const other of this.heardBy.get(control) ?? []) this.targets.lost(relayName(control, other));
-    this.heardBy.delete(control);
+    for (const other of this.relayedControls.get(control) ?? [])
+      this.targets.lost(relayedName(control, other));
+    this.relayedControls.delete(control);
   }
 
   /**
-   * What other control instances told the sender. Each of them counts by itself, as the sender tells of it: a target lives
-   * as long as any of them hears it, and one that the sender hears no more is as good as lost.
+   * Applies what the sender relays from other control instances, each under a name of its own: a target is alive as long as
+   * any of them receives its heartbeats, and an instance that the sender no longer follows counts as lost.
    */
-  private relay(control: string, { relayed, heard }: controlMessage.FollowEvent, whole: boolean): void {
-    for (const told of relayed)
-      this.targets.apply(relayName(control, told.control), told.targets, whole || told.whole);
+  private applyRelayed(
+    control: string,
+    { relayed, heard }: controlMessage.FollowEvent,
+    isSnapshot: boolean,
+  ): void {
+    for (const update of relayed)
+      this.targets.apply(relayedName(control, update.control), update.targets, isSnapshot || update.whole);
     if (heard === undefined) return;
-    for (const other of this.heardBy.get(control) ?? [])
-      if (!heard.controls.includes(other)) this.targets.lost(relayName(control, other));
-    this.heardBy.set(control, heard.controls);
+    for (const other of this.relayedControls.get(control) ?? [])
+      if (!heard.controls.includes(other)) this.targets.lost(relayedName(control, other));
+    this.relayedControls.set(control, heard.controls);
   }
 
   private configure({ number, content }: controlMessage.FollowEvent): void {
@@ -179,7 +184,7 @@
     if (content.length === 0 || Number(number) <= held) return;
     const parsed = configuration.safeParse(JSON.parse(decoder.decode(content)));
     if (!parsed.success) {
-      this.log.event(knowledgeEvents.badConfiguration, {
+      this.log.event(knowledgeEvents.configurationUnreadable, {
         number: Number(number),
         problem: parsed.error.message,
       });
@@ -187,7 +192,7 @@
     }
     this.current = routingTable(parsed.data);
     this.log.event(knowledgeEvents.configured, { number: Number(number), before: held });
-    for (const listener of this.listeners) listener();
+    for (const listener of this.changeListeners) listener();
   }
 
   private nameWeights(weights: readonly controlMessage.NamedWeights[]): void {
@@ -195,25 +200,25 @@
     for (const { model, version: sent, ageMs } of weights) {
       const version = Number(sent);
       const namedAt = now - ageMs;
-      const known = this.named.get(model) ?? [];
+      const known = this.namedVersions.get(model) ?? [];
       const same = known.find((one) => one.version === version);
       if (same !== undefined && same.namedAt <= namedAt) continue;
       const others = known.filter((one) => one !== same);
       const sorted = [...others, { version, namedAt }].sort((a, b) => b.version - a.version);
-      this.named.set(model, sorted.slice(0, MOST_VERSIONS));
+      this.namedVersions.set(model, sorted.slice(0, MAX_VERSIONS));
       if (same !== undefined) continue;
       this.log.event(knowledgeEvents.weightsNamed, { model, version, before: known[0]?.version, ageMs });
-      for (const listener of this.listeners) listener();
+      for (const listener of this.changeListeners) listener();
     }
   }
 }
 
-/** Under what name a control instance counts that another one tells of. */
-const relayName = (sender: string, control: string): string => `${control} by ${sender}`;
+/** Name of a control instance whose state another one relays. */
+const relayedName = (sender: string, control: string): string => `${control} by ${sender}`;
 
 type KeysByControl = Map<string, Set<number>>;
 
-function note(kept: KeysByControl, control: string, changes: controlMessage.KeptChanges): void {
+function applyKeyChanges(kept: KeysByControl, control: string, changes: controlMessage.KeptChanges): void {
   const keys = (changes.whole ? undefined : kept.get(control)) ?? new Set();
   for (const key of changes.dropped) keys.delete(key);
   for (const key of changes.added) keys.add(key);
--- a/packages/knowledge/src/events.ts
+++ b/packages/knowledge/src/events.ts
@@ -1,15 +1,19 @@
-/** Numbered events of what a process learns from control. */
+/** Log events of the subscription to control instances and of the reports to them. */
 import { defineEvents } from '@jasmineroute/core';
 
 export const knowledgeEvents = defineEvents({
   configured: { id: 8105, level: 'info', message: 'configuration in force' },
-  badConfiguration: { id: 8106, level: 'error', message: 'a configuration could not be read: upgrade' },
-  weightsNamed: { id: 8107, level: 'info', message: 'newer weights are wanted' },
+  configurationUnreadable: {
+    id: 8106,
+    level: 'error',
+    message: 'received a configuration that this version can not read: upgrade this process',
+  },
+  weightsNamed: { id: 8107, level: 'info', message: 'newer weights were requested for a model' },
   targetChanged: { id: 8108, level: 'info', message: 'a target changed its state' },
-  controlFollowed: { id: 8109, level: 'info', message: 'follows a control instance' },
-  controlLost: { id: 8110, level: 'warn', message: 'lost a control instance' },
+  controlFollowed: { id: 8109, level: 'info', message: 'subscribed to a control instance' },
+  controlLost: { id: 8110, level: 'warn', message: 'lost the subscription to a control instance' },
   confirmed: { id: 8111, level: 'info', message: 'a quorum confirms what is held' },
-  notTold: { id: 8112, level: 'warn', message: 'a control instance does not take what it is told' },
-  reportsEnded: { id: 8114, level: 'info', message: 'a stream of reports to a control instance ended' },
-  toldAgain: { id: 8113, level: 'info', message: 'a control instance takes what it is told again' },
+  controlUnreachable: { id: 8112, level: 'warn', message: 'a control instance does not accept reports' },
+  reportsEnded: { id: 8114, level: 'info', message: 'the report stream to a control instance ended' },
+  controlReachable: { id: 8113, level: 'info', message: 'a control instance accepts reports again' },
 });
--- /dev/null
+++ b/packages/knowledge/src/failoverClient.ts
@@ -0,0 +1,65 @@
+/** Calls the first control instance that answers. */
+import { createClient } from '@connectrpc/connect';
+import type { CallOptions, Client } from '@connectrpc/connect';
+import type { Clock, Log } from '@jasmineroute/core';
+import { controlMessage } from '@jasmineroute/protocol';
+import type { Peers } from '@jasmineroute/protocol';
+import { knowledgeEvents } from './events.js';
+
+/** Timeout of a call, milliseconds: about ten round trips. */
+const CALL_TIMEOUT_MS = 400;
+
+/** Time for which an instance that did not answer is skipped, milliseconds: twice the time in which its loss is detected. */
+const SKIP_MS = 2_000;
+
+/** Dependencies of the client. */
+export interface TellerParts {
+  /** Control instances, host:port, in the order in which they are tried. */
+  readonly controls: () => readonly string[];
+  readonly peers: Peers;
+  readonly clock: Clock;
+  readonly log: Log;
+}
+
+/** One call to a control instance at an address. */
+export type ControlCall = (
+  client: Client<typeof controlMessage.Configurations>,
+  options: CallOptions,
+  address: string,
+) => Promise<unknown>;
+
+/** Skips instances that did not answer for some time, and logs each loss and each return once. */
+export class Teller {
+  /** Monotonic time until which an instance is skipped, by address. */
+  private readonly skippedUntil = new Map<string, number>();
+
+  constructor(private readonly parts: TellerParts) {}
+
+  /** Calls instances in order, `preferred` first, until one answers. @returns its address, or undefined. */
+  async tell(call: ControlCall, preferred?: string): Promise<string | undefined> {
+    const { controls, clock } = this.parts;
+    const known = controls();
+    const ordered = [...known].sort((a, b) => Number(b === preferred) - Number(a === preferred));
+    for (const address of ordered) {
+      if ((this.skippedUntil.get(address) ?? Number.NEGATIVE_INFINITY) > clock.monotonic()) continue;
+      if (await this.callOne(address, call)) return address;
+    }
+    return undefined;
+  }
+
+  private async callOne(address: string, call: ControlCall): Promise<boolean> {
+    const { peers, clock, log } = this.parts;
+    const client = createClient(controlMessage.Configurations, peers.transport(address));
+    try {
+      await call(client, { timeoutMs: CALL_TIMEOUT_MS }, address);
+    } catch (error) {
+      if (!this.skippedUntil.has(address)) {
+        log.event(knowledgeEvents.controlUnreachable, { control: address, problem: String(error) });
+      }
+      this.skippedUntil.set(address, clock.monotonic() + SKIP_MS);
+      return false;
+    }
+    if (this.skippedUntil.delete(address)) log.event(knowledgeEvents.controlReachable, { control: address });
+    return true;
+  }
+}
--- a/packages/knowledge/src/followTask.ts
+++ b/packages/knowledge/src/followTask.ts
@@ -1,4 +1,4 @@
-/** Follows one control instance, over one stream after the other. */
+/** Keeps one control instance followed: opens a stream, and opens a new one when it ends. */
 import { createClient } from '@connectrpc/connect';
 import { afterActive } from '@jasmineroute/core';
 import type { Clock, Log } from '@jasmineroute/core';
@@ -7,57 +7,57 @@
 import { knowledgeEvents } from './events.js';
 
 /**
- * Silence after which a stream is given up, milliseconds: two heartbeats of the sender and a pause. A connection can
- * go silent for good while new ones work; neither end gets an error, so only the missing heartbeats show it.
+ * Silence after which a stream is aborted, milliseconds: two heartbeats of the sender and a margin. A connection can go
+ * silent for good while new ones work; neither end gets an error, so only the missing heartbeats show it.
  */
-const SILENCE_MS = 2_000;
+const SILENCE_TIMEOUT_MS = 2_000;
 
 /**
- * Time after which another instance is tried beside one that has told nothing yet, milliseconds: what it holds comes at once.
- * An opening packet to a host that has no power yet is lost, and sent again after a second only.
+ * Time without a first event after which another instance is tried in parallel, milliseconds: a healthy instance sends its
+ * state at once. A SYN to a host that is still without power is lost, and is sent again only after a second.
  */
-const EXPECTED_MS = 700;
+const HEDGE_DELAY_MS = 700;
 
-/** Silence after which a stream that has told nothing yet is given up, milliseconds: a process that is slow reads late itself. */
-const FIRST_EVENT_MS = 1_400;
+/** Time without a first event after which a stream is aborted, milliseconds. Leaves time for a slow receiver. */
+const FIRST_EVENT_TIMEOUT_MS = 1_400;
 
 /**
- * The same at most, milliseconds, and for a stream that the instance has queued. Each stream that is given up makes the next one
- * wait twice as long: an instance that is busy tells the later the more streams are opened.
+ * Longest such time, milliseconds, and the time for a stream that the instance has queued. Each aborted stream doubles the
+ * time for the next one: the more streams are opened to a busy instance, the later it answers.
  */
-const LAST_FIRST_EVENT_MS = 5_600;
+const MAX_FIRST_EVENT_TIMEOUT_MS = 5_600;
 
 /**
- * Time for which an instance may be out of contact with a quorum before another one is looked for, milliseconds: without a
- * leader all instances are, and streams to more of them would only keep them busy.
+ * Time for which an instance may be out of contact with a quorum before another one is followed, milliseconds: without a
+ * leader all instances are, and streams to more of them would only add load.
  */
-export const OUT_OF_CONTACT_MS = 1_000;
+export const QUORUM_LOSS_GRACE_MS = 1_000;
 
-/** Pause before the first and the last repeated attempt, milliseconds. */
-const FIRST_PAUSE_MS = 50;
-const LAST_PAUSE_MS = 1_000;
+/** Backoff between attempts, milliseconds. */
+const MIN_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 1_000;
 
-/** The last pause while nothing is confirmed, milliseconds: a process that has just started serves nobody until then. */
-const EARLY_PAUSE_MS = 100;
+/** Longest backoff until a quorum has confirmed the state, milliseconds: a process that has just started can't serve before. */
+const MAX_UNCONFIRMED_BACKOFF_MS = 100;
 
-/** The last pause while enough others are followed, milliseconds. */
-const SPARE_PAUSE_MS = 4_000;
+/** Longest backoff while enough other instances are followed, milliseconds. */
+const MAX_SPARE_BACKOFF_MS = 4_000;
 
-/** What learns from the streams. */
+/** Receives the events of the streams. */
 export interface Listener {
-  /** Number of the configuration that is held already; 0: none. */
+  /** Number of the configuration held; 0: none. */
   number(): number;
-  /** Whether a quorum has confirmed what is held. */
+  /** Whether a quorum has confirmed the state held. */
   confirmed(): boolean;
-  /** Entries that serve now. */
+  /** Number of entries that serve now. */
   entries(): number;
-  /** Takes an event of a control instance; `whole`: the first of its stream. */
-  apply(control: string, event: controlMessage.FollowEvent, whole: boolean): void;
+  /** Applies an event of a control instance; `isFirst`: the first of its stream. */
+  apply(control: string, event: controlMessage.FollowEvent, isFirst: boolean): void;
   /** The stream of a control instance ended. */
   lost(control: string): void;
 }
 
-/** What a task works with. */
+/** Dependencies of a task. */
 export interface FollowTaskParts {
   readonly name: string;
   readonly role: 'entry' | 'agent' | 'control';
@@ -67,36 +67,36 @@
   readonly log: Log;
 }
 
-/** What a task tells its owner. */
+/** Owner of a task: is notified of its changes. */
 export interface FollowTaskOwner {
-  /** Whether enough other control instances are followed, so that this one may be looked for seldom. */
+  /** Whether enough other control instances are followed, so that this one may be retried less often. */
   hasEnough(): boolean;
-  /** The control instances that an event names. */
-  heard(address: string, controls: readonly string[]): void;
-  /** The instance came into contact with a quorum, or out of it, or is no longer expected to come into contact. */
-  changed(): void;
+  /** An event listed these control instances. */
+  controlsListed(address: string, controls: readonly string[]): void;
+  /** The instance gained or lost contact with a quorum, or is no longer expected to gain it. */
+  contactChanged(): void;
 }
 
-/** Runs from `run` to `stop`. */
+/** Follows one control instance from `run` to `stop`. */
 export class FollowTask {
-  /** It is heard, and in contact with a quorum. */
-  isUp = false;
-  /** It is up, was so a moment ago, or is expected to be so soon. */
+  /** Events arrive, and the instance is in contact with a quorum. */
+  isInContact = false;
+  /** In contact with a quorum, or expected to be so soon. */
   isExpected = false;
-  private callOffExpectation = (): void => undefined;
+  private cancelExpectation = (): void => undefined;
   private readonly stopped = new AbortController();
   private stream = new AbortController();
-  /** The stream that is open has told something. */
-  isHeard = false;
+  /** The open stream has delivered an event. */
+  hasReceived = false;
   private isOpen = false;
-  /** The stream that is open was taken up. */
-  private isTaken = false;
-  /** How long the first event of the next stream is waited for, milliseconds. */
-  private firstEventMs = FIRST_EVENT_MS;
+  /** The instance has accepted the open stream. */
+  private isAccepted = false;
+  /** Timeout for the first event of the next stream, milliseconds. */
+  private firstEventTimeoutMs = FIRST_EVENT_TIMEOUT_MS;
   private isReopening = false;
   private isStopped = false;
 
-  /** @param bulk whether it is asked for loads, work and caches. */
+  /** @param bulk whether loads, work and caches are requested. */
   constructor(
     private readonly address: string,
     private readonly parts: FollowTaskParts,
@@ -104,56 +104,56 @@
     private bulk: boolean,
   ) {}
 
-  /** A stream is being opened that has told nothing yet. */
+  /** A stream is open, and no event has arrived yet. */
   get isOpening(): boolean {
-    return this.isOpen && !this.isHeard;
+    return this.isOpen && !this.hasReceived;
   }
 
-  /** Asks for loads, work and caches from now on, or no more: the stream is opened anew. */
-  ask(bulk: boolean): void {
+  /** Sets whether loads, work and caches are requested; reopens the stream on a change. */
+  setBulk(bulk: boolean): void {
     if (bulk === this.bulk) return;
     this.bulk = bulk;
-    if (this.isHeard) this.reopen();
+    if (this.hasReceived) this.reopen();
   }
 
   async run(): Promise<void> {
     const { clock, listener } = this.parts;
     const { signal } = this.stopped;
-    let pauseMs = FIRST_PAUSE_MS;
+    let backoffMs = MIN_BACKOFF_MS;
     while (!signal.aborted) {
       this.isOpen = true;
-      this.expect(EXPECTED_MS);
+      this.expect(HEDGE_DELAY_MS);
       const events = await this.follow();
       this.isOpen = false;
-      this.isTaken = false;
-      this.isHeard = false;
+      this.isAccepted = false;
+      this.hasReceived = false;
       if (this.isStopped) return;
       if (events > 0) {
         listener.lost(this.address);
-        pauseMs = FIRST_PAUSE_MS;
+        backoffMs = MIN_BACKOFF_MS;
       }
       if (this.isReopening) {
         this.isReopening = false;
         continue;
       }
-      this.expectNoMore();
-      await clock.sleep(pauseMs * (0.5 + Math.random() / 2), signal).catch(() => undefined);
-      pauseMs = Math.min(this.lastPauseMs(), pauseMs * 2);
+      this.endExpectation();
+      await clock.sleep(backoffMs * (0.5 + Math.random() / 2), signal).catch(() => undefined);
+      backoffMs = Math.min(this.maxBackoffMs(), backoffMs * 2);
     }
   }
 
   /**
-   * What it told counts as lost at once: another task may follow the same instance before this one's stream has ended. A
-   * stream that is being opened is ended by the first word of the other end: one that is cancelled before that has taken it up
-   * stays open there for good.
+   * Reports the stream as lost at once: another task may follow the same instance before this stream has ended. A stream that
+   * is being opened is aborted only at its first event: cancelled before the instance accepts it, it would stay open there
+   * for good.
    */
   stop(): void {
-    this.isUp = false;
+    this.isInContact = false;
     this.isExpected = false;
-    this.callOffExpectation();
+    this.cancelExpectation();
     this.isStopped = true;
     this.parts.listener.lost(this.address);
-    if (!this.isOpen || this.isTaken) this.stopped.abort();
+    if (!this.isOpen || this.isAccepted) this.stopped.abort();
   }
 
   private reopen(): void {
@@ -161,74 +161,74 @@
     this.stream.abort();
   }
 
-  private lastPauseMs(): number {
-    if (!this.parts.listener.confirmed()) return EARLY_PAUSE_MS;
-    return this.owner.hasEnough() ? SPARE_PAUSE_MS : LAST_PAUSE_MS;
+  private maxBackoffMs(): number {
+    if (!this.parts.listener.confirmed()) return MAX_UNCONFIRMED_BACKOFF_MS;
+    return this.owner.hasEnough() ? MAX_SPARE_BACKOFF_MS : MAX_BACKOFF_MS;
   }
 
-  /** Notes what an event says of the instance's contact with a quorum. */
-  private note(isUp: boolean, isFirst: boolean): void {
-    if (isUp === this.isUp && !isFirst) return;
-    this.isUp = isUp;
-    if (isUp) this.callOffExpectation();
-    else this.expect(OUT_OF_CONTACT_MS);
+  /** Records from an event whether the instance is in contact with a quorum. */
+  private updateContact(isUp: boolean, isFirst: boolean): void {
+    if (isUp === this.isInContact && !isFirst) return;
+    this.isInContact = isUp;
+    if (isUp) this.cancelExpectation();
+    else this.expect(QUORUM_LOSS_GRACE_MS);
     this.isExpected = true;
-    this.owner.changed();
+    this.owner.contactChanged();
   }
 
-  /** It is expected to come up within so many milliseconds. */
+  /** Marks the instance as expected to gain contact with a quorum within `ms`. */
   private expect(ms: number): void {
-    this.callOffExpectation();
+    this.cancelExpectation();
     this.isExpected = true;
-    this.callOffExpectation = this.parts.clock.after(ms, () => {
-      this.expectNoMore();
+    this.cancelExpectation = this.parts.clock.after(ms, () => {
+      this.endExpectation();
     });
   }
 
-  private expectNoMore(): void {
-    this.callOffExpectation();
+  private endExpectation(): void {
+    this.cancelExpectation();
     this.isExpected = false;
-    this.isUp = false;
-    this.owner.changed();
+    this.isInContact = false;
+    this.owner.contactChanged();
   }
 
-  /** One stream until its end. Returns how many events came. */
+  /** Reads one stream until its end. Returns the number of events. */
   private async follow(): Promise<number> {
     const { address, bulk } = this;
     const { name, role, listener, peers, clock, log } = this.parts;
     const client = createClient(controlMessage.Configurations, peers.transport(address));
     this.stream = new AbortController();
     const { stream } = this;
-    const silent = (): void => {
-      // Another task may follow the same instance by now, over the same connection.
+    const onSilence = (): void => {
+      // After `stop` another task may follow the same instance over the same connection.
       if (!this.isStopped) peers.drop(address);
       stream.abort();
     };
-    let calledOff = clock.after(this.firstEventMs, () => {
-      this.firstEventMs = Math.min(LAST_FIRST_EVENT_MS, this.firstEventMs * 2);
-      silent();
+    let cancelTimer = clock.after(this.firstEventTimeoutMs, () => {
+      this.firstEventTimeoutMs = Math.min(MAX_FIRST_EVENT_TIMEOUT_MS, this.firstEventTimeoutMs * 2);
+      onSilence();
     });
     const request = { number: BigInt(listener.number()), name, role, bulk };
     let events = 0;
-    let problem = 'the sender ended it';
+    let problem = 'the control instance closed the stream';
     try {
       const signal = AbortSignal.any([this.stopped.signal, stream.signal]);
       for await (const event of client.follow(request, { signal })) {
-        calledOff();
-        this.isTaken = true;
+        cancelTimer();
+        this.isAccepted = true;
         if (this.isStopped) {
           this.stopped.abort();
           break;
         }
         if (event.queued) {
-          calledOff = clock.after(LAST_FIRST_EVENT_MS, silent);
-          this.expect(OUT_OF_CONTACT_MS);
+          cancelTimer = clock.after(MAX_FIRST_EVENT_TIMEOUT_MS, onSilence);
+          this.expect(QUORUM_LOSS_GRACE_MS);
           continue;
         }
-        // What came while this process stood still is read after its timers have fired.
-        calledOff = afterActive(clock, SILENCE_MS, silent);
-        this.isHeard = true;
-        this.firstEventMs = FIRST_EVENT_MS;
+        // After a suspension of this process its timers fire before the events that have arrived meanwhile are read.
+        cancelTimer = afterActive(clock, SILENCE_TIMEOUT_MS, onSilence);
+        this.hasReceived = true;
+        this.firstEventTimeoutMs = FIRST_EVENT_TIMEOUT_MS;
         if (events === 0)
           log.event(knowledgeEvents.controlFollowed, {
             control: address,
@@ -237,16 +237,16 @@
           });
         listener.apply(address, event, events === 0);
         events += 1;
-        this.owner.heard(address, event.controls);
-        this.note(event.vouched, events === 1);
+        this.owner.controlsListed(address, event.controls);
+        this.updateContact(event.vouched, events === 1);
         if (this.bulk !== bulk) this.reopen();
       }
     } catch (error) {
       problem = String(error);
     } finally {
-      calledOff();
+      cancelTimer();
     }
-    // While an instance is down each attempt fails; only the loss of one that spoke is news.
+    // While an instance is down each attempt fails; only the loss of a stream that has delivered events is logged.
     const isLoss = events > 0 && !this.isReopening && !this.isStopped;
     if (isLoss) log.event(knowledgeEvents.controlLost, { control: address, events, problem });
     return events;
--- a/packages/knowledge/src/follower.spec.ts
+++ b/packages/knowledge/src/follower.spec.ts
@@ -8,17 +8,17 @@
 import { FollowTask } from './followTask.js';
 import type { Listener } from './followTask.js';
 import { Follower } from './follower.js';
-import { Knowledge } from './knowledge.js';
+import { Knowledge } from './clusterView.js';
 
-/** Silence after which a stream that was heard is given up, milliseconds. */
+/** Silence after which a stream that has delivered events is aborted, milliseconds. */
 const SILENCE_MS = 2_000;
 
-/** How long a busy control instance takes for the first event of a stream, milliseconds. */
+/** Time that a busy control instance takes for the first event of a stream, milliseconds. */
 const SLOW_MS = 2_500;
 
 describe('a follower that has just started', () => {
   let server: RpcServer;
-  /** Streams that were opened. */
+  /** Number of streams opened. */
   let streams: number;
   let peers: Peers;
   let followers: Follower[];
@@ -35,16 +35,16 @@
     await server.close();
   });
 
-  /** A control instance whose streams all end at once, tell something late, or whose first one tells nothing. */
-  async function control(way: 'ends' | 'mute' | 'slow' | 'queues'): Promise<RpcServer> {
+  /** Starts a control instance whose streams end at once, whose first one sends nothing, or whose events are late or queued. */
+  async function control(behaviour: 'ends' | 'mute' | 'slow' | 'queues'): Promise<RpcServer> {
     server = await listen('127.0.0.1', 0, (router) => {
       router.service(controlMessage.Configurations, {
         follow: async function* (_request, { signal }) {
           streams += 1;
-          if (way === 'ends') return;
-          if (way === 'queues') yield create(controlMessage.FollowEventSchema, { queued: true });
-          if (way !== 'mute') await systemClock.sleep(SLOW_MS);
-          if (streams > 1 || way !== 'mute')
+          if (behaviour === 'ends') return;
+          if (behaviour === 'queues') yield create(controlMessage.FollowEventSchema, { queued: true });
+          if (behaviour !== 'mute') await systemClock.sleep(SLOW_MS);
+          if (streams > 1 || behaviour !== 'mute')
             yield create(controlMessage.FollowEventSchema, { vouched: true });
           await new Promise((resolve) => {
             signal.addEventListener('abort', resolve, { once: true });
@@ -55,7 +55,7 @@
     return server;
   }
 
-  /** Follows a control instance; what it learns. */
+  /** Follows a control instance. Returns the view that its events update. */
   function follow(address: string): Knowledge {
     const knowledge = new Knowledge(systemClock, silentLog);
     const parts = { listener: knowledge, peers, clock: systemClock, log: silentLog };
@@ -71,23 +71,23 @@
     return condition();
   }
 
-  // Guards against a process that has just started looking as seldom as one that is only short of an instance.
-  it('looks again soon', async () => {
+  // Guards against a process that has just started and retries as seldom as one that only lacks a spare.
+  it('retries soon', async () => {
     const { address } = await control('ends');
     follow(address);
-    // With pauses that double there are ten attempts at most in that time.
+    // With a backoff that keeps doubling there are ten attempts at most in that time.
     expect(await within(3_000, () => streams >= 13)).toBe(true);
   });
 
-  // Guards against streams that are given up and asked for anew at the same pace by all, which keeps the instance busy.
-  it('waits longer each time for an instance that is slow to tell', async () => {
+  // Guards against an instance that stays busy, as all processes abort and reopen their streams at the same rate.
+  it('waits longer each time for an instance whose first event is late', async () => {
     const { address } = await control('slow');
     const knowledge = follow(address);
     expect(await within(4 * SLOW_MS, () => knowledge.confirmed())).toBe(true);
     expect(streams).toBeLessThanOrEqual(4);
   });
 
-  // Guards against an instance that is busy being asked for everything again and again by those that wait for it.
+  // Guards against a busy instance to which all waiting processes open streams again and again.
   it('keeps the stream that an instance has queued', async () => {
     const { address } = await control('queues');
     const knowledge = follow(address);
@@ -95,11 +95,11 @@
     expect(streams).toBe(1);
   });
 
-  // Guards against a stream that nobody waits for any more cutting the connection of the one that took its place.
-  it('leaves the connection to a newer stream when an older one has told nothing', async () => {
+  // Guards against a stopped stream that drops the connection of its successor.
+  it('leaves the connection to a newer stream when an older one has delivered nothing', async () => {
     const { address } = await control('mute');
     const listener = new Knowledge(systemClock, silentLog);
-    const owner = { hasEnough: () => true, heard: () => undefined, changed: () => undefined };
+    const owner = { hasEnough: () => true, controlsListed: () => undefined, contactChanged: () => undefined };
     const parts = { name: 'e1', role: 'entry', listener, peers, clock: systemClock, log: silentLog } as const;
     const [old, newer] = [0, 1].map(() => new FollowTask(address, parts, owner, true));
     void old?.run();
@@ -111,8 +111,8 @@
     newer?.stop();
   });
 
-  // Guards against an entry that serves nobody for as long as a stream may be silent, as its first connection hangs.
-  it('gives up a stream that tells nothing at first', async () => {
+  // Guards against an entry that can't serve for as long as a stream may be silent, as its first connection hangs.
+  it('aborts a stream without a first event', async () => {
     const { address } = await control('mute');
     const knowledge = follow(address);
     expect(await within(SILENCE_MS, () => knowledge.confirmed())).toBe(true);
@@ -123,14 +123,14 @@
   interface Instance {
     readonly server: RpcServer;
     readonly address: string;
-    /** Open streams, and those of them that ask for loads, work and caches. */
+    /** Number of open streams, and of those that request loads, work and caches. */
     open: number;
     bulk: number;
     vouched: boolean;
     isDown: boolean;
   }
 
-  /** Entries that the instances tell of. */
+  /** Number of entries that the instances report. */
   let entries: number;
   let opened: number;
   let peers: Peers;
@@ -199,26 +199,26 @@
   }
 
   const followed = (): string[] => instances.filter(({ open }) => open > 0).map(({ address }) => address);
-  const tellers = (): string[] => instances.filter(({ bulk }) => bulk > 0).map(({ address }) => address);
+  const bulkSenders = (): string[] => instances.filter(({ bulk }) => bulk > 0).map(({ address }) => address);
 
   const until = (text: string, condition: () => boolean): Promise<unknown> => waitFor(text, condition);
 
-  const settled = (follower: Follower): Promise<unknown> =>
-    until('three of them, one of which tells all', () => {
+  const untilSettled = (follower: Follower): Promise<unknown> =>
+    until('three of them, one of which streams all', () => {
       const [first, ...spares] = follower.controls();
       const [inOrder] = controlOrder({ name: 'e1', role: 'entry' }, addresses(), entries);
-      const isTold = tellers().length === 1 && tellers()[0] === first && first === inOrder;
-      return isTold && spares.length === 2 && followed().length === 3;
+      const isBulkFromFirst = bulkSenders().length === 1 && bulkSenders()[0] === first && first === inOrder;
+      return isBulkFromFirst && spares.length === 2 && followed().length === 3;
     });
 
-  it('settles on three of them, and has one tell loads, work and caches', async () => {
+  it('settles on three of them, and requests loads, work and caches from one', async () => {
     const follower = follow();
-    await settled(follower);
+    await untilSettled(follower);
     expect(new Set(follower.controls())).toEqual(new Set(followed()));
   });
 
-  // Guards against control instances that can't elect a leader, as all processes open streams to each of them after a restart of all.
-  it('opens as many streams as it needs while no instance is in contact with a quorum', async () => {
+  // Guards against control instances that can't elect a leader after a restart of all, as each process opens streams to all.
+  it('opens no more streams than it needs while no instance is in contact with a quorum', async () => {
     for (const one of instances) one.vouched = false;
     const follower = follow('entry', addresses());
     await until('three of them', () => followed().length === 3);
@@ -232,37 +232,37 @@
     expect(opened).toBe(3);
   });
 
-  // Guards against streams that end and are opened anew all the time, as the order follows each count of entries.
-  it('stays where it is while the number of entries goes up and down by one', async () => {
+  // Guards against streams that are reopened all the time, as the order follows each count of entries.
+  it('keeps its streams while the number of entries goes up and down by one', async () => {
     entries = 24;
     const follower = follow();
-    await settled(follower);
+    await untilSettled(follower);
     const before = opened;
     for (let step = 0; step < 30; step += 1) {
       entries = step % 2 === 0 ? 25 : 24;
-      follower.changed();
+      follower.contactChanged();
       await systemClock.sleep(20);
     }
     expect(opened).toBe(before);
   });
 
-  // Guards against all processes opening streams to all control instances, and closing them, at each change of the leader.
-  it('opens no stream while all are out of contact with a quorum for a moment', async () => {
+  // Guards against all processes opening and closing streams to all control instances at each change of the leader.
+  it('opens no stream while all instances are briefly out of contact with a quorum', async () => {
     const follower = follow();
-    await settled(follower);
+    await untilSettled(follower);
     const before = opened;
     for (let round = 0; round < 3; round += 1) {
       for (const one of instances) one.vouched = false;
-      await until('it to hear so', () => follower.first() === undefined);
+      await until('it to notice', () => follower.first() === undefined);
       for (const one of instances) one.vouched = true;
-      await until('it to hear of the quorum', () => follower.first() !== undefined);
+      await until('it to be in contact again', () => follower.first() !== undefined);
     }
-    await settled(follower);
+    await untilSettled(follower);
     expect(opened).toBe(before);
   });
 
-  // Guards against an entry that is told all by another instance than those that share the entries, as it moves to the wrong one first.
-  it('moves to its place in one step once the number of entries is known', async () => {
+  // Guards against an entry that requests the whole state from an instance outside the share first, and then moves again.
+  it('moves to its primary in one step once the number of entries is known', async () => {
     entries = 24;
     const orderOf = (name: string, count: number): string[] =>
       controlOrder({ name, role: 'entry' }, addresses(), count);
@@ -273,88 +273,88 @@
     const name = Array.from({ length: 100 }, (_, at) => `e${at}`).find(isElsewhere) ?? '';
     follow('entry', addresses(), name);
     const first = new Set<string>();
-    await waitFor('its place', () => {
-      for (const address of tellers()) first.add(address);
-      return tellers().length === 1 && tellers()[0] === orderOf(name, entries)[0];
+    await waitFor('its primary', () => {
+      for (const address of bulkSenders()) first.add(address);
+      return bulkSenders().length === 1 && bulkSenders()[0] === orderOf(name, entries)[0];
     });
     expect(first.size).toBe(2);
   });
 
-  // Guards against all entries being told all again a second after a restart, by another instance than the first that was up.
-  it('stays with the first that came up while the others come up after it', async () => {
+  // Guards against all entries requesting the whole state again a second after a restart, from another instance.
+  it('stays with the first instance that came up while the others come up after it', async () => {
     for (const one of instances) one.vouched = false;
     const [early] = instances;
     if (early === undefined) throw new Error('no instance');
     early.vouched = true;
     const follower = follow();
-    await until('it to tell all', () => tellers()[0] === early.address);
+    await until('it to stream all', () => bulkSenders()[0] === early.address);
     for (const one of instances) one.vouched = true;
     await until('two more', () => follower.controls().length <= 4 && followed().length <= 4);
     const end = systemClock.monotonic() + 1_500;
     while (systemClock.monotonic() < end) {
-      expect(tellers()).toEqual([early.address]);
+      expect(bulkSenders()).toEqual([early.address]);
       await systemClock.sleep(20);
     }
   });
 
-  it('looks for others when those that it follows stay out of contact', async () => {
+  it('follows others when the followed ones stay out of contact', async () => {
     const follower = follow();
-    await settled(follower);
+    await untilSettled(follower);
     const lost = followed();
     for (const one of instances) one.vouched = !lost.includes(one.address);
     await until('the others', () => followed().filter((address) => !lost.includes(address)).length === 3);
     await until('one of them to be the first', () => !lost.includes(follower.first() ?? lost[0] ?? ''));
   });
 
-  it('asks none for loads, work and caches where it needs none', async () => {
+  it('requests no loads, work and caches as an agent', async () => {
     follow('agent');
     await until('three of them', () => followed().length === 3);
-    expect(tellers()).toEqual([]);
+    expect(bulkSenders()).toEqual([]);
   });
 
-  // Guards against an entry that knows no loads, or old words of targets, for as long as its instance is lost.
+  // Guards against an entry with no loads, or outdated targets, for as long as its primary is lost.
   it.each(['ends', 'is out of contact with a quorum'])('replaces one that %s', async (way) => {
     const follower = follow();
-    await settled(follower);
-    const [first] = tellers();
+    await untilSettled(follower);
+    const [first] = bulkSenders();
     const lost = instances.find(({ address }) => address === first);
-    if (lost === undefined) throw new Error('nobody tells');
+    if (lost === undefined) throw new Error('no instance streams loads, work and caches');
     if (way === 'ends') lost.isDown = true;
     else lost.vouched = false;
     const others = (): string[] => followed().filter((address) => address !== first);
-    await until('three others', () => others().length === 3 && tellers().length === 1);
-    expect(tellers()).not.toContain(first);
+    await until('three others', () => others().length === 3 && bulkSenders().length === 1);
+    expect(bulkSenders()).not.toContain(first);
     lost.isDown = false;
     lost.vouched = true;
-    await until('it to tell again', () => tellers().length === 1 && tellers()[0] === first);
-    await settled(follower);
+    await until('it to stream again', () => bulkSenders().length === 1 && bulkSenders()[0] === first);
+    await untilSettled(follower);
   });
 
-  // Guards against the end of an old stream taking back what a newer one to the same instance has told.
-  it('counts nothing as lost that a newer stream to the same instance has told', async () => {
-    const told: string[] = [];
+  // Guards against state that is discarded at the end of an old stream though a newer one to the same instance delivered it.
+  it('keeps what a newer stream to the same instance has delivered', async () => {
+    const calls: string[] = [];
     const [one] = instances;
     if (one === undefined) throw new Error('no instance');
     const listener: Listener = {
       number: () => 0,
       confirmed: () => true,
       entries: () => 1,
-      apply: () => told.push('told'),
-      lost: () => told.push('lost'),
+      apply: () => calls.push('apply'),
+      lost: () => calls.push('lost'),
     };
-    const owner = { hasEnough: () => true, heard: () => undefined, changed: () => undefined };
+    const owner = { hasEnough: () => true, controlsListed: () => undefined, contactChanged: () => undefined };
     const parts = { name: 'e1', role: 'entry', listener, peers, clock: systemClock, log: silentLog } as const;
     const task = (): FollowTask => new FollowTask(one.address, parts, owner, true);
     const first = task();
     const ended = first.run();
-    await until('the first stream', () => told.includes('told'));
+    await until('the first stream', () => calls.includes('apply'));
     first.stop();
-    expect(told.at(-1)).toBe('lost');
+    expect(calls.at(-1)).toBe('lost');
     const second = task();
     void second.run();
     await ended;
-    await until('the second stream', () => told.at(-1) === 'told');
-    expect(told.filter((what) => what === 'lost')).toHaveLength(1);
+    await until('the second stream', () => calls.at(-1) === 'apply');
+    expect(calls.filter((call) => call === 'lost')).toHaveLength(1);
     second.stop();
   });
 });
--- a/packages/knowledge/src/follower.ts
+++ b/packages/knowledge/src/follower.ts
@@ -1,78 +1,78 @@
-/** Follows some of the control instances that are known, one task each. */
+/** Follows a subset of the known control instances, with one task for each. */
 import { runLasting } from '@jasmineroute/core';
 import { controlOrder } from './controlOrder.js';
-import { FollowTask, OUT_OF_CONTACT_MS } from './followTask.js';
+import { FollowTask, QUORUM_LOSS_GRACE_MS } from './followTask.js';
 import type { FollowTaskOwner, FollowTaskParts } from './followTask.js';
 
 /**
- * Control instances that a process follows: two may be lost at once. Each tells what all others hear, so that the streams
- * of one of them grow with the processes alone.
+ * Control instances that a process follows: two may be lost at once. Each relays what all others receive, so the streams of
+ * an instance grow only with the number of processes.
  */
-const MOST_FOLLOWED = 3;
+const MAX_FOLLOWED = 3;
 
-/** How often the choice of the followed is looked at again, milliseconds: entries come and go. */
-const LOOK_MS = 1_000;
+/** Interval at which the followed instances are chosen anew, milliseconds: the number of entries changes. */
+const REVIEW_INTERVAL_MS = 1_000;
 
 /**
- * Time after which the one that is asked first may be another that is well, milliseconds: it is told all again. When all
+ * Shortest time between two changes of a healthy primary, milliseconds: each change transfers the whole state again. When all
  * instances start at once the order changes with each that comes up.
  */
-const MOVE_MS = 5_000;
+const MIN_PRIMARY_MS = 5_000;
 
 /**
- * Part by which the number of entries must differ from the one that the order was made with. An entry that goes from one
- * control instance to another counts at both for a moment, and would move others by that.
+ * Relative change in the number of entries that changes the order. An entry that moves from one control instance to another
+ * is counted at both for a moment, which must not move other entries.
  */
-const NOTICED_CHANGE = 0.25;
+const MIN_ENTRY_CHANGE = 0.25;
 
-/** What a follower works with. */
+/** Dependencies and settings of a follower. */
 export interface FollowerParts extends FollowTaskParts {
-  /** Control instances that are known from the start, host:port. */
+  /** Seed addresses of control instances, host:port. */
   readonly controls: readonly string[];
-  /** How many it follows; absent: as many as may be lost at once, and one more. */
+  /** Number of instances to follow; absent: one more than may be lost at once. */
   readonly most?: number;
   /** Its own address, where it is a control instance itself. */
   readonly own?: string;
-  /** Whether it asks all of them for loads, work and caches, to pass them on; an entry asks one. */
+  /** Whether loads, work and caches are requested from all instances, to relay them; an entry requests them from its primary. */
   readonly wantsBulk?: () => boolean;
 }
 
 /**
- * Follows a few control instances. One of them tells an entry loads, work and caches too. It begins with the first ones of
- * the order, and with one more for each that is lost, stays out of contact with a quorum or is late to tell: a stream to each
- * of all instances would keep them from electing a leader after a restart of all.
+ * Follows a few control instances. One of them, the primary, also streams loads, work and caches to an entry. The follower
+ * starts with the first ones of the order, and adds one for each that is lost, stays out of contact with a quorum or sends no
+ * event in time: streams from all processes to all instances would keep these from electing a leader after a restart of all.
  */
 export class Follower implements FollowTaskOwner {
   private readonly stopped = new AbortController();
   private readonly tasks = new Map<string, FollowTask>();
-  /** Addresses that each stream told, to know which instances there are. */
-  private told: ReadonlyMap<string, readonly string[]> = new Map();
+  /** Addresses of control instances that each followed instance has reported, by its address. */
+  private reported: ReadonlyMap<string, readonly string[]> = new Map();
   private seeds: readonly string[];
 
-  private readonly most: number;
-  /** Those that are up, in the order to ask them, as it was at the last change. */
+  private readonly maxFollowed: number;
+  /** Instances in contact with a quorum, in order of preference, as of the last change. */
   private order: readonly string[] = [];
-  /** The one that is asked first, kept for some time while it may be up, and since when, by the clock. */
+  /** Address of the primary, kept for some time while it may be in contact, and the monotonic time of its choice. */
   private asked: string | undefined;
-  private askedAt = 0;
-  /** When one came up while none was, by the clock: the others may be about to, after a leader was elected. */
-  private contactAt = 0;
-  /** Entries for which the order is made; 0: not known yet. */
+  private primarySince = 0;
+  /** Monotonic time at which a first instance gained contact: the others may follow soon, after the election of a leader. */
+  private contactSince = 0;
+  /** Number of entries that the order is computed for; 0: unknown. */
   private entries = 0;
 
   constructor(private readonly parts: FollowerParts) {
     this.seeds = parts.controls;
-    this.most = parts.most ?? MOST_FOLLOWED;
+    this.maxFollowed = parts.most ?? MAX_FOLLOWED;
   }
 
-  /** Begins to follow. */
+  /** Starts to follow. */
   start(): void {
-    this.askedAt = this.parts.clock.monotonic();
+    this.primarySince = this.parts.clock.monotonic();
     this.adjust();
-    runLasting('choice of control instances', this.look());
+    runLasting('choice of control instances', this.review());
   }
 
-  /** Replaces the addresses known from the settings. */
+  /** Replaces the seed addresses. */
   reseed(controls: readonly string[]): void {
     this.seeds = controls;
     this.adjust();
@@ -83,160 +83,160 @@
     for (const task of this.tasks.values()) task.stop();
   }
 
-  /** Addresses of control instances, those that are in contact with a quorum first, in the order to ask them. */
+  /** Addresses of the followed instances in order of preference, those in contact with a quorum first. */
   controls(): string[] {
     return [...new Set([...this.order, ...this.tasks.keys()])];
   }
 
-  /** The first one that is in contact with a quorum; undefined: none is. */
+  /** Address of the first instance in contact with a quorum; undefined: none is. */
   first(): string | undefined {
     return this.order[0];
   }
 
   hasEnough(): boolean {
-    return this.order.length >= this.most;
+    return this.order.length >= this.maxFollowed;
   }
 
-  heard(address: string, controls: readonly string[]): void {
+  controlsListed(address: string, controls: readonly string[]): void {
     if (controls.length === 0) return;
-    const before = this.told.get(address) ?? [];
+    const before = this.reported.get(address) ?? [];
     if (before.length === controls.length && controls.every((one) => before.includes(one))) return;
-    this.told = new Map(this.told).set(address, controls);
+    this.reported = new Map(this.reported).set(address, controls);
     this.adjust();
   }
 
-  changed(): void {
+  contactChanged(): void {
     this.adjust();
   }
 
-  private async look(): Promise<void> {
+  private async review(): Promise<void> {
     const { clock } = this.parts;
     const { signal } = this.stopped;
     while (!signal.aborted) {
-      await clock.sleep(LOOK_MS, signal).catch(() => undefined);
-      const mayMove = clock.monotonic() - this.askedAt >= MOVE_MS;
-      if (mayMove) this.countEntries();
-      this.approach();
-      if (mayMove) this.moveToFirst();
+      await clock.sleep(REVIEW_INTERVAL_MS, signal).catch(() => undefined);
+      const mayChange = clock.monotonic() - this.primarySince >= MIN_PRIMARY_MS;
+      if (mayChange) this.updateEntryCount();
+      this.startPreferred();
+      if (mayChange) this.releasePrimary();
       this.adjust();
     }
   }
 
-  /** Makes the order by the number of entries that serve now. */
-  private countEntries(): void {
+  /** Computes the order for the number of entries that serve now, where that has changed enough. */
+  private updateEntryCount(): void {
     const entries = this.parts.listener.entries();
-    if (Math.abs(entries - this.entries) > this.entries * NOTICED_CHANGE) this.entries = entries;
+    if (Math.abs(entries - this.entries) > this.entries * MIN_ENTRY_CHANGE) this.entries = entries;
   }
 
-  /** Lets the first one of the order be asked for everything, once it is up: a move to another one would be followed by a second. */
-  private moveToFirst(): void {
-    const first = this.ranked(this.toldAddresses()).find((address) => this.isExpected(address));
-    if (first !== undefined && this.isUp(first)) this.asked = undefined;
+  /** Gives up the primary once the first instance of the order is in contact: any other choice would soon change again. */
+  private releasePrimary(): void {
+    const first = this.ranked(this.reportedAddresses()).find((address) => this.isExpected(address));
+    if (first !== undefined && this.isInContact(first)) this.asked = undefined;
   }
 
   private isExpected(address: string): boolean {
     return this.tasks.get(address)?.isExpected === true;
   }
 
-  private isUp(address: string): boolean {
-    return this.tasks.get(address)?.isUp === true;
+  private isInContact(address: string): boolean {
+    return this.tasks.get(address)?.isInContact === true;
   }
 
-  /** All that are known, in the order in which this process would ask all of them. */
+  /** Instances in this process's order of preference. */
   private ranked(controls: Iterable<string> = this.known()): string[] {
     return controlOrder(this.parts, [...controls], this.entries);
   }
 
   private known(): ReadonlySet<string> {
-    const known = new Set([...this.seeds, ...this.toldAddresses()]);
+    const known = new Set([...this.seeds, ...this.reportedAddresses()]);
     known.delete(this.parts.own ?? '');
     return known;
   }
 
-  private toldAddresses(): Set<string> {
-    return new Set([...this.told.values()].flat());
+  private reportedAddresses(): Set<string> {
+    return new Set([...this.reported.values()].flat());
   }
 
-  /** Starts and ends tasks as control instances come and go. */
+  /** Starts and stops tasks as control instances come and go. */
   private adjust(): void {
     if (this.stopped.signal.aborted) return;
-    this.choose();
-    this.endSurplus();
-    this.beginMissing();
-    for (const [address, task] of this.tasks) task.ask(this.asksForBulk(address));
+    this.choosePrimary();
+    this.stopSurplus();
+    this.startMissing();
+    for (const [address, task] of this.tasks) task.setBulk(this.isBulkWanted(address));
   }
 
-  /** Chooses the one that is asked first, and the order of the others. */
-  private choose(): void {
+  /** Chooses the primary and the order of the others. */
+  private choosePrimary(): void {
     const ranked = this.ranked();
-    const up = ranked.filter((address) => this.isUp(address));
+    const inContact = ranked.filter((address) => this.isInContact(address));
     const now = this.parts.clock.monotonic();
-    if (this.order.length === 0) this.contactAt = now;
-    if (!this.isWorthKeeping(this.asked, now) && up.length > 0) {
-      [this.asked] = up;
-      this.askedAt = now;
+    if (this.order.length === 0) this.contactSince = now;
+    if (!this.keepsPrimary(this.asked, now) && inContact.length > 0) {
+      [this.asked] = inContact;
+      this.primarySince = now;
     }
     this.asked ??= ranked[0];
-    this.order = up.sort((a, b) => Number(b === this.asked) - Number(a === this.asked));
+    this.order = inContact.sort((a, b) => Number(b === this.asked) - Number(a === this.asked));
   }
 
-  /** Whether the one that is asked first stays so. */
-  private isWorthKeeping(asked: string | undefined, now: number): boolean {
-    const task = this.tasks.get(asked ?? '');
+  /** Whether the primary stays so. */
+  private keepsPrimary(primary: string | undefined, now: number): boolean {
+    const task = this.tasks.get(primary ?? '');
     if (task === undefined) return false;
     if (task.isExpected || task.isOpening) return true;
-    return task.isHeard && now - this.contactAt < OUT_OF_CONTACT_MS;
+    return task.hasReceived && now - this.contactSince < QUORUM_LOSS_GRACE_MS;
   }
 
-  private asksForBulk(address: string): boolean {
+  private isBulkWanted(address: string): boolean {
     const { role, wantsBulk } = this.parts;
     return (role === 'entry' && address === this.asked) || wantsBulk?.() === true;
   }
 
-  /** Ends what is not wanted any more. */
-  private endSurplus(): void {
+  /** Stops tasks of instances that need not be followed any more. */
+  private stopSurplus(): void {
     const wanted = this.hasEnough() ? this.preferred() : this.known();
     for (const [address, task] of this.tasks) {
       if (wanted.has(address) || address === this.asked) continue;
       task.stop();
       this.tasks.delete(address);
-      this.forget(address);
+      this.forgetReported(address);
     }
   }
 
   /**
-   * Once enough are up: the first of them in the order, and those that are not up and come before them. A seed that is no
-   * instance any more is left alone.
+   * Instances to follow once enough are in contact: the first of these in the order, and those without contact that come
+   * before them. Left out is a seed address that no instance has reported.
    */
   private preferred(): ReadonlySet<string> {
-    const ranked = this.ranked(this.toldAddresses());
-    const last = ranked.filter((address) => this.isUp(address))[this.most - 1];
+    const ranked = this.ranked(this.reportedAddresses());
+    const last = ranked.filter((address) => this.isInContact(address))[this.maxFollowed - 1];
     return last === undefined ? this.known() : new Set(ranked.slice(0, ranked.indexOf(last) + 1));
   }
 
-  /** Begins with as many as are needed beyond those that are expected to come up. */
-  private beginMissing(): void {
+  /** Starts as many tasks as are missing beside those of instances expected to be in contact. */
+  private startMissing(): void {
     const expected = [...this.tasks.values()].filter(({ isExpected }) => isExpected).length;
     const others = this.ranked().filter((address) => !this.tasks.has(address));
-    for (const address of others.slice(0, Math.max(0, this.most - expected))) this.begin(address);
+    for (const address of others.slice(0, Math.max(0, this.maxFollowed - expected))) this.startTask(address);
   }
 
-  /** Begins with one that comes before another that is followed: one at a time, as each is told all. */
-  private approach(): void {
+  /** Starts a task for one preferred instance that is not followed yet: one at a time, as each stream transfers the whole state. */
+  private startPreferred(): void {
     if (!this.hasEnough()) return;
     const next = [...this.preferred()].find((address) => !this.tasks.has(address));
-    if (next !== undefined) this.begin(next);
+    if (next !== undefined) this.startTask(next);
   }
 
-  private begin(address: string): void {
-    const task = new FollowTask(address, this.parts, this, this.asksForBulk(address));
+  private startTask(address: string): void {
+    const task = new FollowTask(address, this.parts, this, this.isBulkWanted(address));
     this.tasks.set(address, task);
     runLasting('stream of a control instance', task.run());
   }
 
-  private forget(address: string): void {
-    const told = new Map(this.told);
-    told.delete(address);
-    this.told = told;
+  private forgetReported(address: string): void {
+    const reported = new Map(this.reported);
+    reported.delete(address);
+    this.reported = reported;
   }
 }
--- a/packages/knowledge/src/reportSender.spec.ts
+++ b/packages/knowledge/src/reportSender.spec.ts
@@ -8,19 +8,19 @@
 import { knowledgeEvents } from './events.js';
 import { ReportSender } from './reportSender.js';
 
-const { reportsEnded, notTold } = knowledgeEvents;
+const { reportsEnded, controlUnreachable: notTold } = knowledgeEvents;
 
 describe('reports over one stream', () => {
   const clock = new ManualClock();
   let peers: Peers;
   /** Ids of the events that were logged. */
   let logged: number[];
-  /** Loads that the control instances took, by their place in the order. */
+  /** Loads that the control instances received, by their place in the order. */
   let taken: number[][];
   let servers: RpcServer[];
   let sender: ReportSender;
 
-  /** A control instance that takes loads. */
+  /** Starts a control instance that receives loads. */
   const start = (at: number, port = 0): Promise<RpcServer> =>
     listen('127.0.0.1', port, (router) => {
       router.service(controlMessage.Configurations, {
@@ -30,7 +30,7 @@
       });
     });
 
-  /** One that takes the stream, beats once and then does nothing more, as when it is frozen. */
+  /** Starts one that accepts the stream, sends one heartbeat and then nothing more, as when it is frozen. */
   const startFrozen = (): Promise<RpcServer> =>
     listen('127.0.0.1', 0, (router) => {
       router.service(controlMessage.Configurations, {
@@ -77,13 +77,13 @@
     await Promise.all(servers.map((server) => server.close()));
   });
 
-  /** Ends an instance and waits until the sender knows. */
-  async function lose(at: number): Promise<void> {
+  /** Stops an instance and waits until the sender has noticed. */
+  async function stopInstance(at: number): Promise<void> {
     await servers[at]?.close();
     await waitFor('the end of the stream', () => logged.includes(reportsEnded.id));
   }
 
-  async function comesBack(at: number): Promise<void> {
+  async function restart(at: number): Promise<void> {
     servers[at] = await start(at, Number(addressOf(at).split(':')[1]));
     await clock.advance(2_000);
   }
@@ -96,25 +96,24 @@
     expect(taken).toEqual([[1, 2, 3, 4, 5], []]);
   });
 
-  it('go to the next instance when the first one ends, and back to it once it is there again', async () => {
+  it('go to the next instance when the first one stops, and back to it after its restart', async () => {
     servers = await Promise.all([start(0), start(1)]);
     sender = createSender();
     expect(await send(1)).toBe(addressOf(0));
     await waitFor('the first', () => taken[0]?.includes(1) === true);
-    await lose(0);
+    await stopInstance(0);
     expect(await send(2)).toBe(addressOf(1));
     expect(logged).toEqual([reportsEnded.id, notTold.id]);
     await waitFor('the second', () => taken[1]?.includes(2) === true);
-    await comesBack(0);
+    await restart(0);
     expect(await send(3)).toBe(addressOf(0));
     await waitFor('the third', () => taken[0]?.includes(3) === true);
     expect(taken).toEqual([[1, 3], [2]]);
   });
 
   it('move when another instance comes first in the order', async () => {
-    // Symptom: one control instance takes the reports of all targets, and is late with them.
-    // Sequence: all processes start at once, when few entries are known and all share one instance; more entries come.
-    // Cause: a stream stayed where it was first opened.
+    // Guards against one control instance that relays the reports of all targets late: all streams are opened to it while few
+    // entries are known, and stay there when more entries start.
     servers = await Promise.all([start(0), start(1)]);
     sender = createSender();
     expect(await send(1)).toBe(addressOf(0));
@@ -124,25 +123,24 @@
     expect(taken).toEqual([[1], [2]]);
   });
 
-  it('leave an instance that keeps the connection open and does nothing', async () => {
-    // Symptom: entries and targets know nothing of each other for as long as one control instance is frozen.
-    // Sequence: the instance that takes the reports freezes; its connection stays open, so each report seems sent.
-    // Cause: nobody waits for an answer to a single report.
+  it('go to another instance when one keeps the connection open without heartbeats', async () => {
+    // Guards against reports that are lost for as long as a control instance is frozen: its connection stays open, and a
+    // single report is not acknowledged, so each seems sent.
     servers = await Promise.all([startFrozen(), start(1)]);
     sender = createSender();
     expect(await send(1)).toBe(addressOf(0));
     const connection = peers.transport(addressOf(0));
     await clock.advance(1_300);
     await waitFor('the end of the stream', () => logged.includes(reportsEnded.id));
-    // What others do on the connection goes on.
+    // Other streams on the connection go on.
     expect(peers.transport(addressOf(0))).toBe(connection);
-    // It beats once for each stream that it is given: the next one is left in the same way.
+    // It sends one heartbeat on each new stream: the next one is aborted in the same way.
     servers.reverse();
     expect(await send(2)).toBe(addressOf(0));
     await waitFor('the second', () => taken[1]?.includes(2) === true);
   });
 
-  it('go nowhere once the sender is closed', async () => {
+  it('are dropped once the sender is closed', async () => {
     servers = [await start(0)];
     sender = createSender();
     expect(await send(1)).toBe(addressOf(0));
@@ -150,7 +148,7 @@
     expect(await send(2)).toBeUndefined();
   });
 
-  it('are taken by nobody when no instance is there', async () => {
+  it('are dropped while no instance is up', async () => {
     servers = [await start(0)];
     await servers[0]?.close();
     sender = createSender();
--- a/packages/knowledge/src/reportSender.ts
+++ b/packages/knowledge/src/reportSender.ts
@@ -1,26 +1,26 @@
-/** Sends reports to one control instance, which tells them to others. */
+/** Sends reports to one control instance, which relays them to others. */
 import { ReportStream } from './reportStream.js';
 import type { Report } from './reportStream.js';
-import { Teller } from './teller.js';
-import type { TellerParts, Telling } from './teller.js';
+import { Teller } from './failoverClient.js';
+import type { TellerParts, ControlCall } from './failoverClient.js';
 
 /**
- * Reports go over one stream that stays open, to the first control instance of the order that takes them. A call for each
- * report costs its two ends several times the processor time of a message.
+ * Reports go over one long-lived stream, to the first control instance of the order that accepts it. A call for each report
+ * would cost both ends several times the processor time of a message.
  */
 export class ReportSender {
   private stream: ReportStream | undefined;
   private isClosed = false;
-  private choosing: Promise<ReportStream | undefined> | undefined;
-  private readonly teller: Teller;
+  private opening: Promise<ReportStream | undefined> | undefined;
+  private readonly client: Teller;
 
   constructor(private readonly parts: TellerParts) {
-    this.teller = new Teller(parts);
+    this.client = new Teller(parts);
   }
 
   /**
-   * Sends a report, which may depend on what its stream was sent before.
-   * @returns the stream that took it; undefined while no control instance takes any.
+   * Sends a report, which may depend on what was sent on its stream before.
+   * @returns the stream that it was sent on; undefined while no control instance accepts reports.
    */
   async send(reportFor: (stream: ReportStream) => Report): Promise<ReportStream | undefined> {
     const stream = await this.current();
@@ -28,7 +28,7 @@
     return stream;
   }
 
-  /** Ends the stream; what is sent afterwards goes nowhere. */
+  /** Closes the stream; later reports are dropped. */
   close(): void {
     this.isClosed = true;
     this.stream?.end();
@@ -39,23 +39,23 @@
     if (this.isClosed) return Promise.resolve(undefined);
     if (stream?.isOpen === true && stream.address === this.parts.controls()[0])
       return Promise.resolve(stream);
-    this.choosing ??= this.choose().finally(() => {
-      this.choosing = undefined;
+    this.opening ??= this.openStream().finally(() => {
+      this.opening = undefined;
     });
-    return this.choosing;
+    return this.opening;
   }
 
-  /** The first control instance that takes reports. */
-  private async choose(): Promise<ReportStream | undefined> {
-    const address = await this.teller.tell(this.open);
+  /** Opens a stream to the first control instance that accepts it. */
+  private async openStream(): Promise<ReportStream | undefined> {
+    const address = await this.client.tell(this.open);
     return address === undefined ? undefined : this.stream;
   }
 
-  private readonly open: Telling = async (client, _options, address) => {
+  private readonly open: ControlCall = async (client, _options, address) => {
     if (this.stream?.isOpen === true && this.stream.address === address) return;
     const opened = new ReportStream({ ...this.parts, address });
     await opened.open(client);
-    this.stream?.finish();
+    this.stream?.drain();
     this.stream = opened;
   };
 }
--- a/packages/knowledge/src/reportStream.ts
+++ b/packages/knowledge/src/reportStream.ts
@@ -1,4 +1,4 @@
-/** One open stream of reports to a control instance. */
+/** A stream of reports to a control instance. */
 import { create } from '@bufbuild/protobuf';
 import type { Client } from '@connectrpc/connect';
 import type { Clock, Log } from '@jasmineroute/core';
@@ -6,20 +6,20 @@
 import { knowledgeEvents } from './events.js';
 
 /**
- * Silence after which a stream is given up, milliseconds: two beats of the control instance and a pause. A connection can
- * go silent for good, and a frozen instance keeps it open, so only the missing beats show it.
+ * Silence after which a stream is aborted, milliseconds: two heartbeats of the control instance and a margin. A connection
+ * can go silent for good, and a frozen instance keeps it open, so only the missing heartbeats show it.
  */
-const SILENCE_MS = 1_200;
+const SILENCE_TIMEOUT_MS = 1_200;
 
-/** Longest wait for the first beat, milliseconds: some ten times the way there and back. */
-const FIRST_BEAT_MS = 400;
+/** Timeout for the first heartbeat, milliseconds: about ten round trips. */
+const FIRST_HEARTBEAT_TIMEOUT_MS = 400;
 
-/** What is reported: a target's load, an entry's work, or a target's cache. */
+/** A target's load, an entry's work, or a target's cache. */
 export type Report = controlMessage.ReportRequest['report'];
 
-type Beats = AsyncIterator<controlMessage.ReportResponse>;
+type Heartbeats = AsyncIterator<controlMessage.ReportResponse>;
 
-/** What a stream works with. */
+/** Dependencies of a report stream. */
 export interface ReportStreamParts {
   /** Of the control instance, host:port. */
   readonly address: string;
@@ -27,12 +27,12 @@
   readonly log: Log;
 }
 
-/** What was sent has arrived, in order, unless the stream broke. Reports grow old, so nobody waits for each to arrive. */
+/** Delivers reports in order unless the stream breaks. They are not acknowledged one by one, as each is soon outdated. */
 export class ReportStream {
   private readonly queue: Report[] = [];
   private readonly ended = new AbortController();
-  private isFinished = false;
-  private wake: () => void = () => undefined;
+  private isDraining = false;
+  private wakeSender: () => void = () => undefined;
 
   constructor(private readonly parts: ReportStreamParts) {}
 
@@ -41,65 +41,66 @@
   }
 
   get isOpen(): boolean {
-    return !this.isFinished && !this.ended.signal.aborted;
+    return !this.isDraining && !this.ended.signal.aborted;
   }
 
-  /** Resolves at the first beat. @throws Error without one in time. */
+  /** Resolves at the first heartbeat. @throws Error without one in time. */
   async open(client: Client<typeof controlMessage.Configurations>): Promise<void> {
     const beats = client.report(this.requests(), { signal: this.ended.signal })[Symbol.asyncIterator]();
-    const calledOff = this.endAfter(FIRST_BEAT_MS);
+    const cancelTimer = this.abortAfter(FIRST_HEARTBEAT_TIMEOUT_MS);
     try {
       const first = await beats.next();
-      if (first.done === true) throw new Error('it takes no reports');
+      if (first.done === true)
+        throw new Error('the control instance closed the report stream before its first heartbeat');
     } catch (error) {
       this.end();
       throw error;
     } finally {
-      calledOff();
+      cancelTimer();
     }
-    void this.listen(beats);
+    void this.readHeartbeats(beats);
   }
 
   send(report: Report): void {
     this.queue.push(report);
-    this.wake();
+    this.wakeSender();
   }
 
-  /** Ends the stream after what was sent already has gone out. */
-  finish(): void {
-    this.isFinished = true;
-    this.wake();
+  /** Closes the stream once the queued reports are sent. */
+  drain(): void {
+    this.isDraining = true;
+    this.wakeSender();
   }
 
-  /** Cuts the stream. */
+  /** Aborts the stream. */
   end(): void {
     this.ended.abort();
-    this.wake();
+    this.wakeSender();
   }
 
-  /** Reads beats until the stream ends. */
-  private async listen(beats: Beats): Promise<void> {
+  /** Reads heartbeats until the stream ends. */
+  private async readHeartbeats(heartbeats: Heartbeats): Promise<void> {
     const { address, log } = this.parts;
-    let problem = 'the control instance ended it';
-    let calledOff = this.endAfter(SILENCE_MS);
+    let problem = 'the control instance closed the stream';
+    let cancelTimer = this.abortAfter(SILENCE_TIMEOUT_MS);
     try {
-      while ((await beats.next()).done !== true) {
-        calledOff();
-        calledOff = this.endAfter(SILENCE_MS);
+      while ((await heartbeats.next()).done !== true) {
+        cancelTimer();
+        cancelTimer = this.abortAfter(SILENCE_TIMEOUT_MS);
       }
     } catch (error) {
       problem = String(error);
     }
-    calledOff();
+    cancelTimer();
     this.end();
     log.event(knowledgeEvents.reportsEnded, { control: address, problem });
   }
 
   /**
-   * Gives the stream up after a silence, and leaves the connection to those that follow on it: cut with it, they would be
-   * told all again by an instance that is late already. When the connection is silent itself they drop it.
+   * Aborts the stream after a silence, but leaves the connection open for the subscriptions on it: these would request the
+   * whole state again from an instance that is late already. They drop a connection that is silent themselves.
    */
-  private endAfter(ms: number): () => void {
+  private abortAfter(ms: number): () => void {
     return this.parts.clock.after(ms, () => {
       this.end();
     });
@@ -109,8 +110,8 @@
     while (!this.ended.signal.aborted) {
       const report = this.queue.shift();
       if (report !== undefined) yield create(controlMessage.ReportRequestSchema, { report });
-      else if (this.isFinished) return;
-      else await new Promise<void>((resolve) => (this.wake = resolve));
+      else if (this.isDraining) return;
+      else await new Promise<void>((resolve) => (this.wakeSender = resolve));
     }
   }
 }
--- a/packages/knowledge/src/sharedNews.spec.ts
+++ b/packages/knowledge/src/sharedEvents.spec.ts
@@ -1,13 +1,13 @@
 import { create, toBinary } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 import { describe, expect, it } from 'vitest';
-import { readShared } from './sharedNews.js';
+import { readShared } from './sharedEvents.js';
 
 const { EntryWorkSchema, FollowEventSchema } = controlMessage;
 
-describe('news that all followers are told alike', () => {
+describe('events that all followers get alike', () => {
   // Guards against an entry that counts its own work twice, once as that of others.
-  it('holds the work of others alone', () => {
+  it('hold only the work of other entries', () => {
     const all = create(EntryWorkSchema, {
       entry: 'all',
       targets: [
--- a/packages/knowledge/src/sharedNews.ts
+++ b/packages/knowledge/src/sharedEvents.ts
@@ -1,11 +1,11 @@
-/** Reads what a control instance tells all its followers alike. */
+/** Reads the events that a control instance sends to all followers alike. */
 import { create, fromBinary } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 
-/** Under this name an entry hears the work of all others. */
-const OTHERS = 'others';
+/** Entry name under which the work of all other entries is combined. */
+const OTHER_ENTRIES = 'others';
 
-/** The shared events of an event, in order, without the work that the follower told itself. */
+/** The shared events inside an event, in order, without the work that the follower reported itself. */
 export function readShared({ shared, ownWork }: controlMessage.FollowEvent): controlMessage.FollowEvent[] {
   const own = new Map(ownWork?.targets.map(({ targetId, tokens }) => [targetId, tokens]));
   return shared.map((bytes) => {
@@ -18,9 +18,9 @@
   { targets }: controlMessage.EntryWork,
   own: ReadonlyMap<string, number>,
 ): controlMessage.EntryWork {
-  const others = targets.flatMap(({ targetId, tokens: all }) => {
-    const tokens = all - (own.get(targetId) ?? 0);
+  const others = targets.flatMap(({ targetId, tokens: total }) => {
+    const tokens = total - (own.get(targetId) ?? 0);
     return tokens > 0 ? [create(controlMessage.TargetTokensSchema, { targetId, tokens })] : [];
   });
-  return create(controlMessage.EntryWorkSchema, { entry: OTHERS, targets: others });
+  return create(controlMessage.EntryWorkSchema, { entry: OTHER_ENTRIES, targets: others });
 }
--- a/packages/knowledge/src/targetList.spec.ts
+++ b/packages/knowledge/src/targetList.spec.ts
@@ -34,10 +34,9 @@
 
   const ready = (): string[] => list.ready('s').map(({ id }) => id);
 
-  it('keeps a target alive that one of several control instances hears', () => {
-    // Symptom: a healthy target gets no work.
-    // Sequence: its heartbeats move to another control instance; the one before finds it silent.
-    // Cause: one instance's silence was taken for the target's.
+  it('keeps a target alive whose heartbeats reach one of several control instances', () => {
+    // Guards against a healthy target that gets no work: its heartbeats move to another control instance, and the former one
+    // reports it as silent.
     list.apply('c1', [announced('t1', 1)], true);
     list.apply('c2', [announced('t1', 2)], true);
     list.apply('c1', [announced('t1', 1, Announcement.SILENT)], false);
@@ -46,21 +45,21 @@
     expect(ready()).toEqual([]);
   });
 
-  it('believes a leave whoever heard it, and never takes it back', () => {
+  it('accepts a leave from any control instance, as final', () => {
     list.apply('c1', [announced('t1', 9)], true);
     list.apply('c2', [announced('t1', 0, Announcement.LEFT, { address: '' })], true);
     list.apply('c1', [announced('t1', 10)], false);
     expect(ready()).toEqual([]);
   });
 
-  it('serves on what it knows while no control instance is left', async () => {
+  it('keeps the known targets while no control instance is left', async () => {
     list.apply('c1', [announced('t1', 1)], true);
     list.lost('c1');
     await clock.advance(60_000);
     expect(ready()).toEqual(['t1']);
   });
 
-  it('forgets what a lost control instance said once another one is heard', async () => {
+  it('drops the reports of a lost control instance while another one reports', async () => {
     list.apply('c1', [announced('t1', 1)], true);
     list.apply('c2', [announced('t2', 1)], true);
     list.lost('c1');
@@ -70,20 +69,18 @@
     expect(ready()).toEqual(['t2']);
   });
 
-  it('leaves a target out whose address answered for another one', () => {
-    // Symptom: requests go to an address, and the target there refuses each of them.
-    // Sequence: a target crashes, another starts at its address; a heartbeat of the first arrives late.
-    // Cause: the late heartbeat brought the first one back.
+  it('leaves out a target whose address was taken by another one', () => {
+    // Guards against requests that are all refused: a target crashes, another starts at its address, and a late heartbeat of
+    // the first brings it back.
     list.apply('c1', [announced('t1', 1)], true);
     list.replaced('t1');
     list.apply('c1', [announced('t1', 7)], false);
     expect(ready()).toEqual([]);
   });
 
-  it('uses the newer of two starts, whichever is heard of first and at whichever control instance', () => {
-    // Symptom: requests go to a start of a target that is over, or the new one gets none.
-    // Sequence: a target starts again under its id; one control instance hears the old start last, another the new one.
-    // Cause: what the instances said was merged by the target's id alone.
+  it('uses the newer of two starts, whatever the order and the control instance that reports them', () => {
+    // Guards against requests to a start of a target that is over, or none to the new one: after a restart, one control
+    // instance has received the old start last, another one the new start.
     const start = (born: number, sequence: number, announcement = Announcement.READY) => ({
       ...announced(`t1/${born}`, sequence, announcement),
       name: 't1',
@@ -103,7 +100,7 @@
     expect(other.at('10.0.0.1:80')?.id).toBe('t1/2000');
   });
 
-  it('tells of a pause once, and ends it by a newer observation only', () => {
+  it('reports a pause once, and ends it only by an observation that is not older', () => {
     const paused: string[] = [];
     list.onPause((id) => paused.push(id));
     const observed = (observation: bigint, isPaused: boolean) =>
