--- a/packages/rollout/src/index.ts
+++ b/packages/rollout/src/index.ts
@@ -1,6 +1,6 @@
 /** Brings named weights to targets. */
 export * from './events.js';
-export * from './keeper/index.js';
+export * from './sidecar/index.js';
 export * from './port/index.js';
 export * from './rollout.js';
 export * from './unattended/index.js';
--- a/packages/rollout/src/rollout.ts
+++ b/packages/rollout/src/rollout.ts
@@ -4,7 +4,7 @@
 import { Follower, Knowledge, ReportSender } from '@jasmineroute/knowledge';
 import type { Readiness, RoleContext, RoleProcess } from '@jasmineroute/protocol';
 import { rolloutEvents } from './events.js';
-import { Announcer, CacheReporter, LoadReporter, Observer, WeightsKeeper } from './keeper/index.js';
+import { Announcer, CacheReporter, LoadReporter, Observer, WeightsKeeper } from './sidecar/index.js';
 import type { TargetPort } from './port/index.js';
 
 /**
--- a/packages/rollout/src/keeper/cacheReporter.ts
+++ b/packages/rollout/src/sidecar/cacheReporter.ts
@@ -7,7 +7,7 @@
 import type { CacheNews } from '@jasmineroute/protocol';
 import { rolloutEvents } from '../events.js';
 import type { TargetPort } from '../port/index.js';
-import { timesFor } from './cadence.js';
+import { timesFor } from './pollInterval.js';
 
 /** How long the target may hold a call until it has news, milliseconds. */
 const WAIT_MS = 500;
--- a/packages/rollout/src/keeper/index.ts
+++ b/packages/rollout/src/sidecar/index.ts
@@ -1,5 +1,5 @@
 export * from './announcer.js';
 export * from './loadReporter.js';
 export * from './observer.js';
-export * from './weightsKeeper.js';
+export * from './weightsUpdater.js';
 export * from './cacheReporter.js';
--- a/packages/rollout/src/keeper/loadReporter.ts
+++ b/packages/rollout/src/sidecar/loadReporter.ts
@@ -6,7 +6,7 @@
 import { controlMessage } from '@jasmineroute/protocol';
 import { rolloutEvents } from '../events.js';
 import type { TargetPort } from '../port/index.js';
-import { timesFor } from './cadence.js';
+import { timesFor } from './pollInterval.js';
 
 /** Pause between two looks at the target, milliseconds, and how many times as long it gets where many entries hear it. */
 const LOOK_MS = 200;
--- a/packages/rollout/src/keeper/cadence.spec.ts
+++ b/packages/rollout/src/sidecar/pollInterval.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { timesFor } from './cadence.js';
+import { timesFor } from './pollInterval.js';
 
 describe('how often a target is looked at', () => {
   it.each([
--- a/packages/rollout/src/keeper/weightsKeeper.spec.ts
+++ b/packages/rollout/src/sidecar/weightsUpdater.spec.ts
@@ -7,7 +7,7 @@
 import { beforeEach, describe, expect, it } from 'vitest';
 import type { OrderOutcome, TargetPort, WeightsOrder } from '../port/index.js';
 import type { Observation } from './observer.js';
-import { WeightsKeeper } from './weightsKeeper.js';
+import { WeightsKeeper } from './weightsUpdater.js';
 
 const ADDRESS = '10.0.0.1:80';
 
--- a/packages/rollout/src/unattended/unattendedTargets.ts
+++ b/packages/rollout/src/unattended/unattendedTargets.ts
@@ -5,8 +5,8 @@
 import { ChangeSignal } from '@jasmineroute/directory';
 import type { Knowledge, Target } from '@jasmineroute/knowledge';
 import { rolloutEvents } from '../events.js';
-import { WeightsKeeper } from '../keeper/index.js';
-import type { Observer } from '../keeper/index.js';
+import { WeightsKeeper } from '../sidecar/index.js';
+import type { Observer } from '../sidecar/index.js';
 import type { TargetPort } from '../port/index.js';
 
 /** How often it is looked who has a process beside it, milliseconds. */
