--- a/packages/rollout/src/index.ts
+++ b/packages/rollout/src/index.ts
@@ -1,4 +1,4 @@
-/** Brings named weights to targets. */
+/** Rolls out requested weights to targets. */
 export * from './events.js';
 export * from './sidecar/index.js';
 export * from './port/index.js';
--- a/packages/rollout/src/rollout.ts
+++ b/packages/rollout/src/rollout.ts
@@ -1,78 +1,78 @@
-/** The process beside a target, as a role. */
+/** Role of the process beside a target. */
 import { runLasting } from '@jasmineroute/core';
 import { ChangeSignal, Controls, TurnClient } from '@jasmineroute/directory';
 import { Follower, Knowledge, ReportSender } from '@jasmineroute/knowledge';
 import type { Readiness, RoleContext, RoleProcess } from '@jasmineroute/protocol';
 import { rolloutEvents } from './events.js';
-import { Announcer, CacheReporter, LoadReporter, Observer, WeightsKeeper } from './sidecar/index.js';
+import { Announcer, CacheReporter, LoadReporter, Observer, WeightsUpdater } from './sidecar/index.js';
 import type { TargetPort } from './port/index.js';
 
 /**
- * Longest wait for one control instance with a turn, milliseconds, before the next is asked: some ten times what a quorum
- * takes with slow disks. Behind a frozen instance a turn would be asked for, and given back, 1.5 s late, while all others wait.
+ * Timeout of a turn request at one control instance before the next is tried, milliseconds: about ten times what a quorum
+ * takes with slow disks. With a frozen instance a turn would be taken and released 1.5 s late, while all others wait.
  */
-const TURN_ATTEMPT_MS = 500;
+const TURN_ATTEMPT_TIMEOUT_MS = 500;
 
-/** Control instances that it follows: one that tells, and a spare. Without any for a moment only a load of weights waits. */
-const MOST_FOLLOWED = 2;
+/** Control instances to follow: a primary and a spare. While none is available, only loads of weights wait. */
+const FOLLOWED_CONTROLS = 2;
 
-/** The target that the process stands beside. */
-export interface Neighbour {
+/** The target beside the process. */
+export interface ManagedTarget {
   /** host:port. */
   readonly address: string;
   readonly service: string;
   readonly port: TargetPort;
-  /** Time after the naming of newer weights from which on nothing may begin on older ones, milliseconds. */
+  /** Time after the request of newer weights from which on no run may start on older ones, milliseconds. */
   readonly weightsLimitMs: number;
   /** Shortest time between the orders of two holders to one target, milliseconds. */
   readonly orderGapMs: number;
 }
 
-/** Follows control and keeps one target's weights. */
+/** Follows control, reports one target's state and updates its weights. */
 export class Rollout implements RoleProcess {
   private readonly follower: Follower;
-  private readonly keeper: WeightsKeeper;
+  private readonly weightsUpdater: WeightsUpdater;
   private readonly sender: ReportSender;
-  private readonly reporter: LoadReporter;
+  private readonly loadReporter: LoadReporter;
   private readonly cacheReporter: CacheReporter;
   private readonly announcer: Announcer;
 
   constructor(
     private readonly context: RoleContext,
-    private readonly neighbour: Neighbour,
+    private readonly target: ManagedTarget,
   ) {
     const { name, incarnation, controls, peers, clock, log, metrics, dataCentre } = context;
     const knowledge = new Knowledge(clock, log);
-    const news = new ChangeSignal();
+    const changes = new ChangeSignal();
     knowledge.onNews(() => {
-      news.raise();
+      changes.raise();
     });
-    const follower = { name, role: 'agent', listener: knowledge, peers, clock, log } as const;
-    this.follower = new Follower({ ...follower, controls, most: MOST_FOLLOWED });
-    const attemptMs = TURN_ATTEMPT_MS;
+    const followerParts = { name, role: 'agent', listener: knowledge, peers, clock, log } as const;
+    this.follower = new Follower({ ...followerParts, controls, most: FOLLOWED_CONTROLS });
+    const attemptMs = TURN_ATTEMPT_TIMEOUT_MS;
     const turns = new TurnClient(new Controls({ controls, peers, clock, metrics, dataCentre, attemptMs }));
     const observer = new Observer(() => this.follower.controls(), peers, log);
-    const { address, port } = neighbour;
-    const told = { controls: () => this.follower.controls(), peers, clock, log };
-    this.sender = new ReportSender(told);
-    const reported = { address, port, sender: this.sender, clock, log };
-    this.reporter = new LoadReporter({ ...reported, knowledge });
-    this.cacheReporter = new CacheReporter({ ...reported, entries: () => knowledge.entries() });
+    const { address, port } = target;
+    const controlParts = { controls: () => this.follower.controls(), peers, clock, log };
+    this.sender = new ReportSender(controlParts);
+    const reporterParts = { address, port, sender: this.sender, clock, log };
+    this.loadReporter = new LoadReporter({ ...reporterParts, knowledge });
+    this.cacheReporter = new CacheReporter({ ...reporterParts, entries: () => knowledge.entries() });
     this.announcer = new Announcer({
       address,
-      service: neighbour.service,
+      service: target.service,
       dataCentre,
       port,
       knowledge,
-      news,
-      ...told,
+      changes,
+      ...controlParts,
     });
-    this.keeper = new WeightsKeeper({
-      ...neighbour,
+    this.weightsUpdater = new WeightsUpdater({
+      ...target,
       name,
       incarnation,
       knowledge,
-      news,
+      changes,
       turns,
       observer,
       clock,
@@ -80,16 +80,16 @@
     });
   }
 
-  /** Other processes ask it for nothing. */
+  /** Serves no routes. */
   routes(): void {
     return;
   }
 
   start(): Promise<void> {
-    const { address, service } = this.neighbour;
+    const { address, service } = this.target;
     this.follower.start();
-    runLasting('weights', this.keeper.run());
-    runLasting('load reports', this.reporter.run());
+    runLasting('weights', this.weightsUpdater.run());
+    runLasting('load reports', this.loadReporter.run());
     runLasting('cache reports', this.cacheReporter.run());
     runLasting('announcements', this.announcer.run());
     this.context.log.event(rolloutEvents.started, { target: address, service });
@@ -97,17 +97,17 @@
   }
 
   readiness(): Readiness {
-    return { ready: true, reason: 'standing beside its target' };
+    return { ready: true, reason: 'running beside its target' };
   }
 
-  /** Replaces the control instances known from the settings. */
+  /** Replaces the seed addresses of control instances. */
   reseed(controls: readonly string[]): void {
     this.follower.reseed(controls);
   }
 
   drain(): Promise<void> {
-    this.keeper.stop();
-    this.reporter.stop();
+    this.weightsUpdater.stop();
+    this.loadReporter.stop();
     this.cacheReporter.stop();
     this.announcer.stop();
     this.sender.close();
--- a/packages/rollout/src/sidecar/announcer.spec.ts
+++ b/packages/rollout/src/sidecar/announcer.spec.ts
@@ -68,16 +68,15 @@
     } as unknown as TargetPort;
     const place = { address: ADDRESS, service: 's', dataCentre: 'here' };
     const controls = (): string[] => [server.address];
-    const news = new ChangeSignal();
-    return new Announcer({ ...place, news, port, knowledge, controls, peers, clock, log: silentLog });
+    const changes = new ChangeSignal();
+    return new Announcer({ ...place, changes, port, knowledge, controls, peers, clock, log: silentLog });
   };
 
-  it('tells of a target that nobody has heard of, with its weights', async () => {
-    // Symptom: after a loss of all instances callers are refused, or all sent to the first targets that called.
-    // Sequence: control starts; each target found nobody with its last heartbeat, and sends the next 1.2 s later.
-    // Cause: a target was known by its own calls only, though a process of the system stands beside it.
+  it('announces an unknown target with its weights', async () => {
+    // Guards against callers that are refused, or all sent to the first targets that called, after a loss of all instances:
+    // control has just started, the last heartbeat of each target failed, and the next one is due 1.2 s later.
     configure();
-    expect(await announcer().look()).toBe(true);
+    expect(await announcer().poll()).toBe(true);
     expect(announced).toMatchObject([
       { name: 't1', born: 7n, service: 's', address: ADDRESS, dataCentre: 'here', capacity: 96 },
     ]);
@@ -85,27 +84,26 @@
     expect(checks).toEqual(['/alive']);
   });
 
-  it('leaves a target alone for a while that does not say who it is', async () => {
-    // Symptom: a target that drains gets ten health checks a second.
-    // Sequence: nobody tells of it, as it drains; each look asks it who it is, and it refuses.
-    // Cause: only a target that was announced was left alone.
+  it('pauses after a target has refused the identity request', async () => {
+    // Guards against ten health checks a second at a target that drains: it is unknown to control, and each poll requests
+    // its identity, which it refuses.
     configure();
     isServing = false;
-    expect(await announcer().look()).toBe(true);
+    expect(await announcer().poll()).toBe(true);
     expect(announced).toEqual([]);
   });
 
-  it('checks no target that is known, down, or of no configured service', async () => {
-    expect(await announcer().look()).toBe(false);
+  it('requests no identity of a target that is known, down, or of no configured service', async () => {
+    expect(await announcer().poll()).toBe(false);
     configure();
     isUp = false;
-    expect(await announcer().look()).toBe(false);
+    expect(await announcer().poll()).toBe(false);
     isUp = true;
     const { READY } = controlMessage.Announcement;
     const known = { id: 't1', service: 's', address: ADDRESS, announcement: READY };
     const targets = [create(controlMessage.AnnouncedTargetSchema, known)];
     knowledge.apply('c1', create(controlMessage.FollowEventSchema, { targets }), false);
-    expect(await announcer().look()).toBe(false);
+    expect(await announcer().poll()).toBe(false);
     expect(checks).toEqual([]);
     expect(announced).toEqual([]);
   });
--- a/packages/rollout/src/sidecar/announcer.ts
+++ b/packages/rollout/src/sidecar/announcer.ts
@@ -1,4 +1,4 @@
-/** Announces the target beside this process while no control instance tells of it. */
+/** Announces the target beside this process while no control instance reports it. */
 import type { ChangeSignal } from '@jasmineroute/directory';
 import { Teller } from '@jasmineroute/knowledge';
 import type { Knowledge, TellerParts } from '@jasmineroute/knowledge';
@@ -6,22 +6,22 @@
 import { rolloutEvents } from '../events.js';
 import type { TargetIdentity, TargetPort } from '../port/index.js';
 
-/** Pause between two looks while nobody tells of the target, milliseconds: a tenth of the time between two heartbeats. */
-const LOOK_MS = 100;
+/** Poll interval while the target is unknown, milliseconds: a tenth of the heartbeat interval. */
+const POLL_INTERVAL_MS = 100;
 
-/** Longest pause between two looks while somebody does, milliseconds. */
-const IDLE_LOOK_MS = 1_000;
+/** Longest poll interval while the target is known, milliseconds. */
+const IDLE_POLL_INTERVAL_MS = 1_000;
 
-/** Longest wait for an answer of the target, milliseconds: it comes from the same instance. */
-const CALL_MS = 400;
+/** Timeout of a call to the target, milliseconds: it runs on the same instance. */
+const CALL_TIMEOUT_MS = 400;
 
 /**
- * Pause after the target was asked who it is, milliseconds: that counts as a health check, and costs what one does. By then
- * the target has called a control instance itself.
+ * Pause after an identity request, milliseconds: to the target it is a health check, with the cost of one. By the end of the
+ * pause the target has called a control instance itself.
  */
-const PAUSE_MS = 2_000;
+const IDENTITY_INTERVAL_MS = 2_000;
 
-/** What the announcer works with. */
+/** Dependencies of the announcer. */
 export interface AnnouncerParts extends TellerParts {
   /** host:port of the target. */
   readonly address: string;
@@ -30,30 +30,31 @@
   readonly port: TargetPort;
   readonly knowledge: Knowledge;
   /** Raised with each event of a control instance. */
-  readonly news: ChangeSignal;
+  readonly changes: ChangeSignal;
 }
 
 /**
- * A control instance that starts knows no target until each has called it, and a call that found nobody there is followed by
- * the next a heartbeat later. After a loss of all instances the first targets that call would get all requests. The
- * process beside a target needs not wait for its call.
+ * A control instance that has just started knows no target until each has called it, and a target whose call failed calls
+ * again a heartbeat later. After a loss of all instances the first targets that call would get all requests. The process
+ * beside a target announces it without waiting for its call.
  */
 export class Announcer {
   private readonly stopped = new AbortController();
-  private readonly teller: Teller;
+  private readonly client: Teller;
 
   constructor(private readonly parts: AnnouncerParts) {
-    this.teller = new Teller(parts);
+    this.client = new Teller(parts);
   }
 
   /** Runs until `stop`. */
   async run(): Promise<void> {
-    const { clock, news } = this.parts;
+    const { clock, changes } = this.parts;
     const { signal } = this.stopped;
     while (!signal.aborted) {
-      const isAsked = await this.look();
-      if (this.isKnown()) await news.wait(clock, IDLE_LOOK_MS, signal);
-      else await clock.sleep(isAsked ? PAUSE_MS : LOOK_MS, signal).catch(() => undefined);
+      const wasAsked = await this.poll();
+      if (this.isKnown()) await changes.wait(clock, IDLE_POLL_INTERVAL_MS, signal);
+      else
+        await clock.sleep(wasAsked ? IDENTITY_INTERVAL_MS : POLL_INTERVAL_MS, signal).catch(() => undefined);
     }
   }
 
@@ -61,22 +62,22 @@
     this.stopped.abort();
   }
 
-  /** Announces the target if it serves and nobody tells of it. @returns whether it was asked who it is. */
-  async look(): Promise<boolean> {
+  /** Announces the target if it serves and is unknown. @returns whether its identity was requested. */
+  async poll(): Promise<boolean> {
     const { knowledge, address, service, port, log } = this.parts;
     const healthPath = knowledge.table()?.serviceOf(service)?.healthPath;
     if (healthPath === undefined || this.isKnown()) return false;
-    const report = await port.report(CALL_MS);
-    // While the target is down it is asked again; its loss is logged by what follows its load.
+    const report = await port.report(CALL_TIMEOUT_MS);
+    // While the target is down it is polled again; `LoadReporter` logs its loss.
     if (report.isErr()) return false;
-    const identity = await port.identity(healthPath, CALL_MS);
+    const identity = await port.identity(healthPath, CALL_TIMEOUT_MS);
     if (identity.isErr()) {
-      log.event(rolloutEvents.notAnnounced, { address, problem: identity.error.message });
+      log.event(rolloutEvents.identityUnknown, { address, problem: identity.error.message });
       return true;
     }
-    // A control instance that can't be told is logged by the teller.
-    const told = await this.tell(identity.value, report.value.weights);
-    if (told) log.event(rolloutEvents.announced, { target: identity.value.name, address });
+    // The client logs control instances that don't answer.
+    const isAnnounced = await this.announce(identity.value, report.value.weights);
+    if (isAnnounced) log.event(rolloutEvents.announced, { target: identity.value.name, address });
     return true;
   }
 
@@ -85,13 +86,13 @@
     return knowledge.targets.at(address) !== undefined;
   }
 
-  private async tell(identity: TargetIdentity, weights: ReadonlyMap<string, number>): Promise<boolean> {
+  private async announce(identity: TargetIdentity, weights: ReadonlyMap<string, number>): Promise<boolean> {
     const { address, service, dataCentre } = this.parts;
     const versions = [...weights].map(([model, version]) => ({ model, version: BigInt(version) }));
     const { capacity } = identity;
     const place = { address, service, dataCentre, capacity };
     const announced = { ...startFields(identity), ...place, weights: versions };
-    const control = await this.teller.tell((client, options) => client.announce(announced, options));
+    const control = await this.client.tell((client, options) => client.announce(announced, options));
     return control !== undefined;
   }
 }
--- a/packages/rollout/src/sidecar/cacheReporter.spec.ts
+++ b/packages/rollout/src/sidecar/cacheReporter.spec.ts
@@ -11,9 +11,9 @@
 const part = (id: string) => ({ salt: 's', model: 'm', part: id });
 const keyOf = (id: string): number => partKey(ADDRESS, part(id));
 
-describe('what a target has in its cache', () => {
+describe('the report of a target cache', () => {
   let servers: RpcServer[];
-  let boards: KeptParts[];
+  let keptParts: KeptParts[];
   let peers: Peers;
   let sender: ReportSender;
   let news: CacheNews | undefined;
@@ -22,9 +22,9 @@
   let logged: number[];
 
   beforeEach(async () => {
-    boards = [new KeptParts(), new KeptParts()];
+    keptParts = [new KeptParts(), new KeptParts()];
     servers = await Promise.all(
-      boards.map((board) =>
+      keptParts.map((board) =>
         listen('127.0.0.1', 0, (router) => {
           router.service(controlMessage.Configurations, {
             report: reportTaker((report) => {
@@ -60,7 +60,7 @@
       log: { ...silentLog, event: ({ id }) => void logged.push(id) },
     });
 
-  const told = (events: Record<string, boolean>, change: Partial<CacheNews> = {}): CacheNews => ({
+  const newsOf = (events: Record<string, boolean>, change: Partial<CacheNews> = {}): CacheNews => ({
     incarnation: 1,
     next: 1,
     hasGap: false,
@@ -68,78 +68,75 @@
     ...change,
   });
 
-  const keysAt = (board: number): number[] => [...(boards[board]?.since(0).added ?? [])].sort();
+  const keysAt = (board: number): number[] => [...(keptParts[board]?.since(0).added ?? [])].sort();
 
-  /** Waits until a control instance has just these parts. */
-  const settles = (board: number, ...ids: string[]): Promise<unknown> =>
+  /** Waits until a control instance has exactly these parts. */
+  const untilParts = (board: number, ...ids: string[]): Promise<unknown> =>
     waitFor(`${ids.join()} at ${board}`, () => {
       return JSON.stringify(keysAt(board)) === JSON.stringify(ids.map(keyOf).sort());
     });
 
-  it('reaches one control instance, and whole the next one when that is lost', async () => {
-    // Symptom: requests go where a part no longer is, or are read again where it is.
-    // Sequence: a control instance that heard of a target's cache goes down; changes go to another one.
-    // Cause: changes alone, to one that had not heard the rest.
+  it('goes to one control instance, and in full to the next one when that is lost', async () => {
+    // Guards against requests that go where a part is no longer cached, or are processed again where it is: after the loss of
+    // a control instance, another one gets only the changes.
     const one = reporter();
-    news = told({ a: true, b: true });
-    expect(await one.look()).toBe(true);
-    await settles(0, 'a', 'b');
+    news = newsOf({ a: true, b: true });
+    expect(await one.poll()).toBe(true);
+    await untilParts(0, 'a', 'b');
     expect(keysAt(1)).toEqual([]);
     await servers[0]?.close();
-    news = told({ a: false, c: true });
-    await one.look();
-    // The first look may still take the lost instance for one that hears; the next one finds that it is not.
-    news = told({});
+    news = newsOf({ a: false, c: true });
+    await one.poll();
+    // The first poll may still send to the lost instance; the next one notices its loss.
+    news = newsOf({});
     await waitFor('another stream', async () => {
-      await one.look();
+      await one.poll();
       return keysAt(1).length > 0;
     });
-    await settles(1, 'b', 'c');
+    await untilParts(1, 'b', 'c');
   });
 
-  it('is told whole again to an instance that lost what it knew', async () => {
-    // Symptom: parts that a target has are read again, for as long as they stay in its cache.
-    // Sequence: a control instance restarts between two calls; it is told what changed since the last one only.
-    // Cause: no call failed, so nothing showed that it had lost the rest.
+  it('is sent in full again to an instance that lost its state', async () => {
+    // Guards against parts that are processed again though a target has them: a control instance restarts between two
+    // reports, no report fails, and it gets only the changes since.
     const one = reporter();
-    news = told({ a: true });
-    await one.look();
-    await settles(0, 'a');
-    boards[0]?.forget(ADDRESS);
-    news = told({ b: true });
-    await one.look();
-    await settles(0, 'b');
+    news = newsOf({ a: true });
+    await one.poll();
+    await untilParts(0, 'a');
+    keptParts[0]?.forget(ADDRESS);
+    news = newsOf({ b: true });
+    await one.poll();
+    await untilParts(0, 'b');
     await clock.advance(5_001);
-    news = told({});
-    await one.look();
-    await settles(0, 'a', 'b');
+    news = newsOf({});
+    await one.poll();
+    await untilParts(0, 'a', 'b');
   });
 
-  it('is logged once when it is no longer told, with the reason, and when it is told again', async () => {
-    // Symptom: prompts are fetched or read again for no reason that any log shows.
-    // Sequence: a target's events can't be read; the process beside it asks again and again.
-    // Cause: the error was dropped.
+  it('is logged once when it stops, with the reason, and when it resumes', async () => {
+    // Guards against prompts that are fetched or processed again without a reason in any log: a target's cache events can't
+    // be read, and the error is dropped.
     const one = reporter();
-    news = told({ a: true });
-    await one.look();
+    news = newsOf({ a: true });
+    await one.poll();
     problem = 'it can not be read';
-    for (let n = 0; n < 3; n += 1) expect(await one.look()).toBe(false);
+    for (let n = 0; n < 3; n += 1) expect(await one.poll()).toBe(false);
     problem = undefined;
-    await one.look();
+    await one.poll();
     expect(logged).toEqual([8207, 8208]);
   });
 
-  it('is nothing after a restart or a gap', async () => {
+  it('starts empty after a restart or a gap', async () => {
     const one = reporter();
-    news = told({ a: true });
-    await one.look();
-    news = told({ b: true }, { hasGap: true });
-    await one.look();
-    await settles(0, 'b');
-    news = told({ c: true }, { incarnation: 2 });
-    await one.look();
-    await settles(0);
+    news = newsOf({ a: true });
+    await one.poll();
+    news = newsOf({ b: true }, { hasGap: true });
+    await one.poll();
+    await untilParts(0, 'b');
+    news = newsOf({ c: true }, { incarnation: 2 });
+    await one.poll();
+    await untilParts(0);
     news = undefined;
-    expect(await one.look()).toBe(false);
+    expect(await one.poll()).toBe(false);
   });
 });
--- a/packages/rollout/src/sidecar/cacheReporter.ts
+++ b/packages/rollout/src/sidecar/cacheReporter.ts
@@ -1,4 +1,4 @@
-/** Tells what the target beside this process has in its cache. */
+/** Reports which parts the target beside this process has in its cache. */
 import { create } from '@bufbuild/protobuf';
 import { ProblemTally } from '@jasmineroute/core';
 import type { Clock, Log } from '@jasmineroute/core';
@@ -7,71 +7,72 @@
 import type { CacheNews } from '@jasmineroute/protocol';
 import { rolloutEvents } from '../events.js';
 import type { TargetPort } from '../port/index.js';
-import { timesFor } from './pollInterval.js';
+import { intervalFactor } from './pollInterval.js';
 
-/** How long the target may hold a call until it has news, milliseconds. */
-const WAIT_MS = 500;
+/** Time for which the target may hold a call until its cache changes, milliseconds. */
+const LONG_POLL_MS = 500;
 
-/** Time beyond that for the answer, milliseconds: it comes from the same instance. */
-const ANSWER_MS = 400;
+/** Additional time for the answer, milliseconds: the target runs on the same instance. */
+const ANSWER_TIMEOUT_MS = 400;
 
 /**
- * Pause between two calls, milliseconds, so that some changes go out together, and how many times as long it gets where many
- * entries hear it. The target tells its own late.
+ * Pause between two calls, milliseconds, so that changes are sent in batches, and the largest factor by which it grows with
+ * the number of entries. The target itself reports changes with a delay.
  */
-const GATHER_MS = 60;
-const MOST_TIMES = 4;
+const BATCH_MS = 60;
+const MAX_INTERVAL_FACTOR = 4;
 
-/** Pause before a target that did not answer is called again, milliseconds. */
-const PAUSE_MS = 500;
+/** Pause before a retry when the target did not answer, milliseconds. */
+const RETRY_DELAY_MS = 500;
 
 /**
- * A control instance is told all of it at least so often, milliseconds: one that restarted between two calls knows only
- * what changed since, and nothing else shows that.
+ * Interval of full reports, milliseconds: a control instance that has restarted between two reports has only the changes
+ * since, and nothing else shows that.
  */
-const WHOLE_MS = 5_000;
+const FULL_REPORT_INTERVAL_MS = 5_000;
 
-/** A control instance is told at least so often, milliseconds: it believes what it was told for 5 s. */
-const REPEAT_MS = 1_500;
+/** Longest interval between two reports, milliseconds: a control instance drops a target's cache 5 s after its last report. */
+const REPORT_INTERVAL_MS = 1_500;
 
-/** What was told last, and when. */
-interface Told {
-  /** The control instance at the other end of another one knows nothing of what was told on this one. */
+/** The last report that was sent. */
+interface SentReport {
+  /** Stream of the report. A control instance at the other end of a new stream needs a full report. */
   readonly stream: ReportStream | undefined;
-  /** Place of the last change that was told. */
+  /** Position of the last change that was sent. */
   readonly place: number;
   readonly at: number;
-  readonly wholeAt: number;
+  readonly fullAt: number;
 }
 
-const NOT_TOLD: Told = {
+const NONE_SENT: SentReport = {
   stream: undefined,
   place: 0,
   at: Number.NEGATIVE_INFINITY,
-  wholeAt: Number.NEGATIVE_INFINITY,
+  fullAt: Number.NEGATIVE_INFINITY,
 };
 
-/** What the reporter works with. */
+/** Dependencies of the reporter. */
 export interface CacheReporterParts {
   readonly address: string;
   readonly port: TargetPort;
   readonly sender: ReportSender;
-  /** Entries that serve now. */
+  /** Number of entries that serve now. */
   readonly entries: () => number;
   readonly clock: Clock;
   readonly log: Log;
 }
 
 /**
- * One control instance is told, which tells all entries. Under load a cache turns over within seconds, so where a part was
- * read last says little; a request that goes where its parts are costs neither the store's link nor a second reading.
+ * Reports go to one control instance, which relays them to all entries. Under load a cache turns over within seconds, so the
+ * target that processed a part last may have evicted it; a request that goes where its parts are cached needs neither a
+ * transfer from the store nor a second prefill.
  */
 export class CacheReporter {
   private readonly stopped = new AbortController();
   private readonly kept = new KeptParts();
   private last: CacheNews | undefined;
-  private isHeard = true;
-  private told = NOT_TOLD;
+  private isAnswering = true;
+  private sent = NONE_SENT;
   private readonly unreadable: ProblemTally;
 
   constructor(private readonly parts: CacheReporterParts) {
@@ -83,9 +84,9 @@
     const { clock } = this.parts;
     const { signal } = this.stopped;
     while (!signal.aborted) {
-      const isHeard = await this.look();
-      const gatherMs = GATHER_MS * timesFor(this.parts.entries(), MOST_TIMES);
-      await clock.sleep(isHeard ? gatherMs : PAUSE_MS, signal).catch(() => undefined);
+      const isAnswered = await this.poll();
+      const batchMs = BATCH_MS * intervalFactor(this.parts.entries(), MAX_INTERVAL_FACTOR);
+      await clock.sleep(isAnswered ? batchMs : RETRY_DELAY_MS, signal).catch(() => undefined);
     }
   }
 
@@ -93,48 +94,48 @@
     this.stopped.abort();
   }
 
-  /** Asks the target once and tells what is new. @returns whether it answered. */
-  async look(): Promise<boolean> {
+  /** Requests cache changes from the target once and reports them. @returns whether it answered. */
+  async poll(): Promise<boolean> {
     const { address, port } = this.parts;
     const since = this.last?.next ?? 0;
-    const told = await port.cacheNews(since, WAIT_MS, WAIT_MS + ANSWER_MS).then(
-      (news) => ({ news, problem: 'too many calls wait there' }),
+    const answer = await port.cacheNews(since, LONG_POLL_MS, LONG_POLL_MS + ANSWER_TIMEOUT_MS).then(
+      (news) => ({ news, problem: 'the target has too many open calls' }),
       (problem: unknown) => ({ news: undefined, problem: String(problem) }),
     );
-    this.note(told.news !== undefined, told.problem);
-    if (told.news === undefined) return false;
-    const { unread } = told.news;
+    this.updateAnswering(answer.news !== undefined, answer.problem);
+    if (answer.news === undefined) return false;
+    const { unread } = answer.news;
     if (unread !== undefined) this.unreadable.note(address, unread.problem, unread.count);
-    this.last = this.kept.take(address, told.news, this.last);
-    await this.tell();
+    this.last = this.kept.take(address, answer.news, this.last);
+    await this.report();
     return true;
   }
 
-  /** Logs the loss of the target's news, and its return, once each. Control forgets the cache soon after the loss. */
-  private note(isHeard: boolean, problem: string): void {
-    if (isHeard === this.isHeard) return;
-    this.isHeard = isHeard;
+  /** Logs once each when the target stops to report its cache and when it resumes. Control drops the cache soon after. */
+  private updateAnswering(isAnswering: boolean, problem: string): void {
+    if (isAnswering === this.isAnswering) return;
+    this.isAnswering = isAnswering;
     const { address, log } = this.parts;
-    if (isHeard) log.event(rolloutEvents.cacheHeard, { address });
-    else log.event(rolloutEvents.cacheUnheard, { address, problem });
+    if (isAnswering) log.event(rolloutEvents.cacheAnswering, { address });
+    else log.event(rolloutEvents.cacheSilent, { address, problem });
   }
 
-  /** Tells what is new to the control instance that knows the rest already, or else all of it to another one. */
-  private async tell(): Promise<void> {
+  /** Sends the changes on the stream of the last report, or a full report on a new stream. */
+  private async report(): Promise<void> {
     const { address, clock, sender } = this.parts;
     const place = this.kept.place();
     const now = clock.monotonic();
-    const { told } = this;
-    const isKnown = told.stream?.isOpen === true && told.place === place;
-    if (isKnown && now - told.at <= REPEAT_MS) return;
-    const isDue = now - told.wholeAt > WHOLE_MS;
-    const isWhole = (stream: ReportStream): boolean => isDue || stream !== told.stream;
+    const { sent } = this;
+    const isUpToDate = sent.stream?.isOpen === true && sent.place === place;
+    if (isUpToDate && now - sent.at <= REPORT_INTERVAL_MS) return;
+    const isFullDue = now - sent.fullAt > FULL_REPORT_INTERVAL_MS;
+    const isFull = (stream: ReportStream): boolean => isFullDue || stream !== sent.stream;
     const stream = await sender.send((to) => {
-      const changes = this.kept.since(isWhole(to) ? 0 : told.place);
+      const changes = this.kept.since(isFull(to) ? 0 : sent.place);
       const value = create(controlMessage.TargetCacheSchema, { address, changes });
       return { case: 'cache', value };
     });
     if (stream === undefined) return;
-    this.told = { stream, place, at: now, wholeAt: isWhole(stream) ? now : told.wholeAt };
+    this.sent = { stream, place, at: now, fullAt: isFull(stream) ? now : sent.fullAt };
   }
 }
--- a/packages/rollout/src/sidecar/loadReporter.ts
+++ b/packages/rollout/src/sidecar/loadReporter.ts
@@ -1,4 +1,4 @@
-/** Tells the load of the target beside this process. */
+/** Reports the load of the target beside this process. */
 import { create } from '@bufbuild/protobuf';
 import { ProblemTally } from '@jasmineroute/core';
 import type { Clock, Log } from '@jasmineroute/core';
@@ -6,19 +6,19 @@
 import { controlMessage } from '@jasmineroute/protocol';
 import { rolloutEvents } from '../events.js';
 import type { TargetPort } from '../port/index.js';
-import { timesFor } from './pollInterval.js';
+import { intervalFactor } from './pollInterval.js';
 
-/** Pause between two looks at the target, milliseconds, and how many times as long it gets where many entries hear it. */
-const LOOK_MS = 200;
-const MOST_TIMES = 2;
+/** Poll interval of the target, milliseconds, and the largest factor by which it grows with the number of entries. */
+const POLL_INTERVAL_MS = 200;
+const MAX_INTERVAL_FACTOR = 2;
 
-/** A load that has not changed is told again after so long, milliseconds: entries believe one for 2 s. */
-const REPEAT_MS = 800;
+/** Interval at which an unchanged load is reported again, milliseconds: entries use a report for 2 s. */
+const REPORT_INTERVAL_MS = 800;
 
-/** Longest wait for a report, milliseconds. */
-const CALL_MS = 400;
+/** Timeout of a call to the target, milliseconds. */
+const CALL_TIMEOUT_MS = 400;
 
-/** What the reporter works with. */
+/** Dependencies of the reporter. */
 export interface LoadReporterParts {
   readonly address: string;
   readonly port: TargetPort;
@@ -29,15 +29,15 @@
 }
 
 /**
- * One control instance is told, which tells all entries. Each entry sees only the answers to its own requests: a target that
- * all of them think idle would get more requests than it has places.
+ * Reports go to one control instance, which relays them to all entries. An entry sees only the answers to its own requests:
+ * without reports, a target that all entries consider idle would get more requests than it can run at once.
  */
 export class LoadReporter {
   private readonly stopped = new AbortController();
-  private told = '';
-  /** The target did not answer the last time; logged once for each loss. */
-  private lost = false;
-  private toldAt = Number.NEGATIVE_INFINITY;
+  private sentLoad = '';
+  /** The target did not answer the last call; logged once for each loss. */
+  private isUnreachable = false;
+  private sentAt = Number.NEGATIVE_INFINITY;
   private readonly unreadable: ProblemTally;
 
   constructor(private readonly parts: LoadReporterParts) {
@@ -49,9 +49,10 @@
     const { clock } = this.parts;
     const { signal } = this.stopped;
     while (!signal.aborted) {
-      await this.look();
-      const pauseMs = LOOK_MS * timesFor(this.parts.knowledge.entries(), MOST_TIMES);
-      await clock.sleep(pauseMs, signal).catch(() => undefined);
+      await this.poll();
+      const intervalMs =
+        POLL_INTERVAL_MS * intervalFactor(this.parts.knowledge.entries(), MAX_INTERVAL_FACTOR);
+      await clock.sleep(intervalMs, signal).catch(() => undefined);
     }
   }
 
@@ -59,26 +60,27 @@
     this.stopped.abort();
   }
 
-  private async look(): Promise<void> {
+  private async poll(): Promise<void> {
     const { knowledge, address, port, clock, log } = this.parts;
     const target = knowledge.targets.at(address);
     if (target === undefined) return;
-    const report = await port.report(CALL_MS);
+    const report = await port.report(CALL_TIMEOUT_MS);
     if (report.isErr()) {
-      if (!this.lost) log.event(rolloutEvents.unreachable, { address, problem: report.error.message });
-      this.lost = true;
+      if (!this.isUnreachable)
+        log.event(rolloutEvents.unreachable, { address, problem: report.error.message });
+      this.isUnreachable = true;
       return;
     }
-    this.lost = false;
+    this.isUnreachable = false;
     const { running, waiting, unread } = report.value;
     if (unread !== undefined) this.unreadable.note(address, unread.problem, unread.count);
     const load = `${target.id} ${running} ${waiting}`;
     const now = clock.monotonic();
-    if (load === this.told && now - this.toldAt < REPEAT_MS) return;
+    if (load === this.sentLoad && now - this.sentAt < REPORT_INTERVAL_MS) return;
     const value = create(controlMessage.TargetLoadSchema, { targetId: target.id, running, waiting });
-    const taken = await this.parts.sender.send(() => ({ case: 'load', value }));
-    if (taken === undefined) return;
-    this.told = load;
-    this.toldAt = now;
+    const stream = await this.parts.sender.send(() => ({ case: 'load', value }));
+    if (stream === undefined) return;
+    this.sentLoad = load;
+    this.sentAt = now;
   }
 }
--- a/packages/rollout/src/sidecar/observer.spec.ts
+++ b/packages/rollout/src/sidecar/observer.spec.ts
@@ -13,15 +13,13 @@
     await Promise.all(servers.map((server) => server.close()));
   });
 
-  it('goes on once one control instance has heard, and tells all that there are', async () => {
-    // Symptom: while one control instance is frozen each load of weights takes 0.8 s longer, and later twice as many
-    // targets load at once.
-    // Sequence: a target's pause, and its end, are told to all instances; one of them does not answer.
-    // Cause: the order waited for the answers of all.
-    let endHang = (): void => undefined;
-    const hangs = new Promise<void>((resolve) => (endHang = resolve));
+  it('calls all control instances, and resolves once one has answered', async () => {
+    // Guards against loads of weights that each take 0.8 s longer, and later twice as many targets that load at once, while
+    // one control instance is frozen: the begin and the end of a pause each wait for its answer.
+    let answer = (): void => undefined;
+    const answered = new Promise<void>((resolve) => (answer = resolve));
     const asked: string[] = [];
-    const serverThat = (name: string, waits: Promise<void>): Promise<RpcServer> =>
+    const startControl = (name: string, waits: Promise<void>): Promise<RpcServer> =>
       listen('127.0.0.1', 0, (router) => {
         router.service(controlMessage.Configurations, {
           observe: async () => {
@@ -31,12 +29,12 @@
           },
         });
       });
-    servers.push(await serverThat('frozen', hangs), await serverThat('well', Promise.resolve()));
+    servers.push(await startControl('frozen', answered), await startControl('well', Promise.resolve()));
     const observer = new Observer(() => servers.map(({ address }) => address), peers, silentLog);
     const weights = new Map([['m', 2]]);
     await observer.tell({ targetId: 't1', number: 1n, paused: true, weights });
     expect(asked).toContain('well');
-    endHang();
+    answer();
     await expect.poll(() => [...asked].sort()).toEqual(['frozen', 'well']);
   });
 });
--- a/packages/rollout/src/sidecar/pollInterval.spec.ts
+++ b/packages/rollout/src/sidecar/pollInterval.spec.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
-import { timesFor } from './pollInterval.js';
+import { intervalFactor } from './pollInterval.js';
 
-describe('how often a target is looked at', () => {
+describe('the poll interval of a target', () => {
   it.each([
     [0, 1],
     [8, 1],
@@ -10,8 +10,8 @@
     [32, 2],
     [70, 4],
     [360, 4],
-  ])('with %i entries: %i times the shortest time', (entries, times) => {
-    // Pattern: 54 processes beside targets looked ten times a second each; every look is told to 70 entries.
-    expect(timesFor(entries, 4)).toBe(times);
+  ])('with %i entries: %i times the shortest interval', (entries, times) => {
+    // Load to avoid: 54 processes beside targets poll ten times a second each, and every report goes to 70 entries.
+    expect(intervalFactor(entries, 4)).toBe(times);
   });
 });
--- a/packages/rollout/src/sidecar/pollInterval.ts
+++ b/packages/rollout/src/sidecar/pollInterval.ts
@@ -1,9 +1,9 @@
-/** How often the process beside a target looks at it, by how many entries hear of it. */
+/** Scales the interval at which a target is polled with the number of entries, which all get each report. */
 
-/** Entries for which the shortest times hold: what is told goes to all of them, and each knows less of a single target. */
-const ENTRIES_EACH = 16;
+/** Entries per step of the factor. With more entries a single target matters less to each of them. */
+const ENTRIES_PER_STEP = 16;
 
-/** How many times as long it waits with so many entries, `most` at most. */
-export function timesFor(entries: number, most: number): number {
-  return Math.min(most, Math.max(1, Math.ceil(entries / ENTRIES_EACH)));
+/** Factor for the shortest interval, `max` at most. */
+export function intervalFactor(entries: number, max: number): number {
+  return Math.min(max, Math.max(1, Math.ceil(entries / ENTRIES_PER_STEP)));
 }
--- a/packages/rollout/src/sidecar/weightsUpdater.spec.ts
+++ b/packages/rollout/src/sidecar/weightsUpdater.spec.ts
@@ -7,11 +7,11 @@
 import { beforeEach, describe, expect, it } from 'vitest';
 import type { OrderOutcome, TargetPort, WeightsOrder } from '../port/index.js';
 import type { Observation } from './observer.js';
-import { WeightsKeeper } from './weightsUpdater.js';
+import { WeightsUpdater } from './weightsUpdater.js';
 
 const ADDRESS = '10.0.0.1:80';
 
-/** A look at what it has, one at what runs there, and one for the order itself. */
+/** Reports on the weights, on the runs, and for the order itself. */
 const REPORTS_BEFORE_ORDER = 3;
 
 /** A target that loads in 100 ms. */
@@ -21,7 +21,7 @@
   unstarted = 0;
   orders: WeightsOrder[] = [];
   outcome: OrderOutcome | 'none' = 'accepted';
-  /** An order without an answer is carried out all the same. */
+  /** Orders are carried out without an answer. */
   silent = false;
   private readyAt = 0;
 
@@ -57,28 +57,28 @@
   };
 }
 
-describe('the keeper of weights', () => {
+describe('the updater of weights', () => {
   let clock: ManualClock;
   let target: FakeTarget;
   let knowledge: Knowledge;
-  let told: Observation[];
+  let observations: Observation[];
   let granted: boolean;
   let fence: bigint;
-  /** Fences of the turns that it holds, and names of those that others hold. */
+  /** Fences of the turns held by the updater, and names of those held by others. */
   let held: Map<string, bigint>;
   let denied: Set<string>;
-  let asks: number;
+  let turnRequests: number;
 
   beforeEach(() => {
     clock = new ManualClock();
     target = new FakeTarget(clock);
     knowledge = new Knowledge(clock, silentLog);
-    told = [];
+    observations = [];
     granted = true;
     fence = 0n;
     held = new Map();
     denied = new Set();
-    asks = 0;
+    turnRequests = 0;
     announce('t1', ADDRESS, 1);
   });
 
@@ -90,25 +90,25 @@
     knowledge.apply('c1', create(controlMessage.FollowEventSchema, { vouched: true, targets }), false);
   }
 
-  const name = (version: number): void => {
+  const request = (version: number): void => {
     const weights = [{ model: 'm', version: BigInt(version), ageMs: 0 }];
     knowledge.apply('c1', create(controlMessage.FollowEventSchema, { vouched: true, weights }), false);
   };
 
-  const keeper = (): WeightsKeeper =>
-    new WeightsKeeper({
+  const updater = (): WeightsUpdater =>
+    new WeightsUpdater({
       name: 'a1',
       incarnation: 1n,
       address: ADDRESS,
       service: 's',
       orderGapMs: 3_000,
-      news: new ChangeSignal(),
+      changes: new ChangeSignal(),
       weightsLimitMs: 8_000,
       port: target,
       knowledge,
       turns: {
         take: ({ name: turn = '' }) => {
-          asks += 1;
+          turnRequests += 1;
           const isGranted = granted && !denied.has(turn);
           if (isGranted && !held.has(turn)) {
             fence += 1n;
@@ -123,7 +123,7 @@
       },
       observer: {
         tell: (observation: Observation) => {
-          told.push(observation);
+          observations.push(observation);
           return Promise.resolve();
         },
       },
@@ -131,18 +131,18 @@
       log: silentLog,
     });
 
-  /** One look, with time moving on until it is over. */
-  async function look(one = keeper()): Promise<void> {
+  /** One poll, with the clock advanced until it ends. */
+  async function look(one = updater()): Promise<void> {
     const state = { done: false };
-    const looking = one.look().then(() => {
+    const looking = one.poll().then(() => {
       state.done = true;
     });
     for (let step = 0; step < 2_000 && !state.done; step += 1) await clock.advance(10);
     await looking;
   }
 
-  it('tells of a pause, orders the named version under its fence, and tells of its end', async () => {
-    name(3);
+  it('announces a pause, orders the requested version under its fence, and announces the end', async () => {
+    request(3);
     await look();
     expect(target.orders).toEqual([
       {
@@ -155,28 +155,28 @@
         targetName: 't1',
       },
     ]);
-    expect(told.map(({ paused, number }) => [paused, number])).toEqual([
+    expect(observations.map(({ paused, number }) => [paused, number])).toEqual([
       [true, 2n],
       [false, 3n],
     ]);
-    expect(told.at(-1)?.weights.get('m')).toBe(3);
+    expect(observations.at(-1)?.weights.get('m')).toBe(3);
   });
 
-  // Guards against a target that has its new weights and gets no work for a moment.
+  // Guards against a target that has its new weights and gets no work for some time.
   it('numbers the end of a pause higher than its begin, and the next begin higher still', async () => {
-    name(2);
+    request(2);
     await look();
-    name(3);
+    request(3);
     await look();
-    const numbers = told.map(({ number }) => number);
+    const numbers = observations.map(({ number }) => number);
     expect(numbers.length).toBeGreaterThanOrEqual(4);
     expect(new Set(numbers).size).toBe(numbers.length);
     expect([...numbers].sort((a, b) => Number(a - b))).toEqual(numbers);
   });
 
-  // Guards against first tokens that are nearly all late while weights are replaced under load.
-  it('does not take the target out for long runs, and waits for what has made nothing yet', async () => {
-    name(2);
+  // Guards against late first tokens for nearly all requests while weights are replaced under load.
+  it('does not wait for long runs, but for requests without output', async () => {
+    request(2);
     target.running = 3;
     target.unstarted = 1;
     const looking = look();
@@ -188,59 +188,59 @@
     expect(clock.monotonic()).toBeLessThan(2_000);
   });
 
-  it('leaves out versions that were overtaken', async () => {
-    name(2);
-    name(5);
+  it('skips superseded versions', async () => {
+    request(2);
+    request(5);
     await look();
     expect(target.orders.map(({ version }) => version)).toEqual([5]);
   });
 
   it('does nothing without a turn', async () => {
     granted = false;
-    name(2);
+    request(2);
     await look();
     expect(target.orders).toEqual([]);
-    expect(told).toEqual([]);
+    expect(observations).toEqual([]);
   });
 
-  // Guards against two holders that give one target orders by turns.
-  it('gives no order while another holder has the right to, and asks again', async () => {
+  // Guards against two holders that order one target alternately.
+  it('gives no order while another holder has the right to order, and retries', async () => {
     denied.add(`orders/${ADDRESS}`);
-    name(2);
+    request(2);
     await look();
     expect(target.orders).toEqual([]);
-    expect(told).toEqual([]);
+    expect(observations).toEqual([]);
     denied.clear();
     await look();
     expect(target.orders).toHaveLength(1);
   });
 
-  it('keeps the right to order after its last order, until its time is over', async () => {
-    // Cause: given back at once, it would go to another holder within the gap that is agreed between two of them.
-    name(2);
+  it('lets the right to order lapse instead of releasing it', async () => {
+    // Released at once, it could pass to another holder within the agreed gap between two holders.
+    request(2);
     await look();
     expect([...held.keys()]).toEqual([`orders/${ADDRESS}`]);
-    const kept = asks;
+    const kept = turnRequests;
     await clock.advance(20_000);
-    expect(asks).toBe(kept);
+    expect(turnRequests).toBe(kept);
   });
 
   // Guards against a process that was suspended and gives an order after another one has taken its place.
-  it('gives no order when the right to was lost while the target was made ready', async () => {
+  it('gives no order when the right to order was lost while waiting for runs', async () => {
     target.unstarted = 1;
-    name(2);
+    request(2);
     const looking = look();
     await clock.advance(100);
     held.set(`orders/${ADDRESS}`, 99n);
     target.unstarted = 0;
     await looking;
     expect(target.orders).toEqual([]);
-    expect(told.at(-1)).toMatchObject({ paused: false });
+    expect(observations.at(-1)).toMatchObject({ paused: false });
   });
 
-  // Guards against an order of a holder whose right another has taken while it waited for the target's report.
-  it('gives no order when the right to was lost while the target reported', async () => {
-    name(2);
+  // Guards against an order of a holder that has lost its right to another one while it waited for the target's report.
+  it('gives no order when the right to order was lost while the target reported', async () => {
+    request(2);
     const { report } = target;
     const reports: number[] = [];
     target.report = (timeoutMs) => {
@@ -255,48 +255,48 @@
   });
 
   // Guards against an order that is given twice, or a target that stays paused for good.
-  it('goes by what the target reports when an order gets no answer', async () => {
+  it('goes by the reports of the target when an order gets no answer', async () => {
     target.silent = true;
-    name(2);
+    request(2);
     await look();
     expect(target.orders).toHaveLength(1);
-    expect(told.at(-1)).toMatchObject({ paused: false });
-    expect(told.at(-1)?.weights.get('m')).toBe(2);
+    expect(observations.at(-1)).toMatchObject({ paused: false });
+    expect(observations.at(-1)?.weights.get('m')).toBe(2);
   });
 
   it('ends the pause when the target refuses the order', async () => {
     target.outcome = 'fenced';
-    name(2);
+    request(2);
     await look();
-    expect(told.map(({ paused }) => paused)).toEqual([true, false]);
+    expect(observations.map(({ paused }) => paused)).toEqual([true, false]);
   });
 
-  /** How often a turn is asked for in ten seconds in which others have it, beside so many other targets. */
-  async function asksBeside(others: number): Promise<number> {
+  /** Number of requests for a turn in ten seconds in which others hold it, with `others` other targets. */
+  async function turnRequestsWith(others: number): Promise<number> {
     for (let n = 2; n < others + 2; n += 1) announce(`t${n}`, `10.0.0.${n}:80`, 1);
     granted = false;
-    name(2);
-    const one = keeper();
+    request(2);
+    const one = updater();
     void one.run();
     for (let step = 0; step < 1_000; step += 1) await clock.advance(10);
     one.stop();
-    return asks;
+    return turnRequests;
   }
 
-  // Guards against a log that takes hundreds of entries a second which change nothing.
-  it('asks for a turn less often the more targets ask', async () => {
-    const asks = await asksBeside(38);
+  // Guards against hundreds of entries a second in the replicated log that change nothing.
+  it('requests a turn less often the more targets there are', async () => {
+    const asks = await turnRequestsWith(38);
     expect(asks).toBeGreaterThan(4);
     expect(asks).toBeLessThan(25);
   });
 
-  it('asks often where few do', async () => {
-    expect(await asksBeside(2)).toBeGreaterThan(60);
+  it('requests a turn often with few targets', async () => {
+    expect(await turnRequestsWith(2)).toBeGreaterThan(60);
   });
 
   it('lets lower ids go first among equals', async () => {
     announce('t0', '10.0.0.2:80', 1);
-    name(2);
+    request(2);
     await look();
     expect(target.orders).toEqual([]);
     announce('t0', '10.0.0.2:80', 2);
@@ -304,11 +304,11 @@
     expect(target.orders).toHaveLength(1);
   });
 
-  // Guards against a rollout that stands still for seconds, after which several targets load at once.
-  it('does not wait for a target that is next and does nothing', async () => {
-    const one = keeper();
+  // Guards against a rollout that stalls for seconds, after which several targets load at once.
+  it('does not wait for a target that is next and does not load', async () => {
+    const one = updater();
     announce('t0', '10.0.0.2:80', 1);
-    name(2);
+    request(2);
     await look(one);
     await clock.advance(400);
     await look(one);
@@ -318,12 +318,12 @@
     expect(target.orders).toHaveLength(1);
   });
 
-  // Guards against a target that stays on the first of several versions named in quick succession.
-  it('lets targets go first that are further behind, for a while', async () => {
+  // Guards against a target that stays on the first of several versions requested in quick succession.
+  it('yields to targets with older weights for a limited time', async () => {
     target.version = 2;
     announce('t1', ADDRESS, 2);
     announce('t2', '10.0.0.2:80', 1);
-    name(3);
+    request(3);
     await look();
     expect(target.orders).toEqual([]);
     await clock.advance(3_001);
--- a/packages/rollout/src/unattended/unattendedTargets.spec.ts
+++ b/packages/rollout/src/unattended/unattendedTargets.spec.ts
@@ -11,7 +11,7 @@
 describe('targets without a process beside them', () => {
   let clock: ManualClock;
   let knowledge: Knowledge;
-  /** Targets that a process beside them reports of. */
+  /** Targets that the process beside them reports. */
   let reported: Set<string>;
   let leads: boolean;
   /** Addresses of targets that were given an order. */
@@ -73,29 +73,28 @@
     });
   });
 
-  /** Runs for a time. */
+  /** Runs and advances the clock by `ms`. */
   async function run(ms: number): Promise<void> {
     void unattended.run();
     for (let step = 0; step < ms; step += 50) await clock.advance(50);
   }
 
-  it('are brought weights, and no others', async () => {
+  it('get new weights, and no others do', async () => {
     reported.add('t1');
     await run(6_000);
     expect(new Set(ordered)).toEqual(new Set(['10.0.0.2:80']));
     unattended.stop();
   });
 
-  it('are left alone while a process that has just started may not have been heard yet', async () => {
-    // Symptom: after a loss of power of all, control instances and the processes beside targets order them by turns.
-    // Sequence: control is back first, and knows no report of any target.
-    // Cause: a target was taken for unattended as soon as nothing was heard of it.
+  it('get no order while the first report of a process that has just started may be pending', async () => {
+    // Guards against alternate orders of control instances and the processes beside targets after a loss of power of all:
+    // control is back first, and has no report of any target yet.
     await run(2_500);
     expect(ordered).toEqual([]);
     unattended.stop();
   });
 
-  it('are left to other instances by one that does not lead, and to their process when it is back', async () => {
+  it('get no order from an instance that does not lead, or once their process is back', async () => {
     leads = false;
     await run(6_000);
     expect(ordered).toEqual([]);
