--- a/packages/engine/src/http/httpEngine.ts
+++ b/packages/engine/src/http/httpEngine.ts
@@ -18,10 +18,10 @@
 import type { WireAnswer, WireRequest } from '../wire/index.js';
 import { eventBody, wholeBody } from './body.js';
 import { readCacheEvents } from './cacheEvents.js';
-import { Calls, statusFault } from './calls.js';
+import { Calls, statusFault } from './jsonClient.js';
 import { orderCall } from './order.js';
 import { INCARNATION, REQUEST_ID, answerHeaders, bodyOf, headersOf } from './request.js';
-import { watchWholeAnswer } from './wholeAnswer.js';
+import { watchWholeAnswer } from './jsonAnswer.js';
 import { healthBody, loadBody, snapshotBody } from './schema.js';
 
 /** Longest silence on a stream whose heartbeat comes every 500 ms. */
