--- a/packages/engine/src/events.ts
+++ b/packages/engine/src/events.ts
@@ -1,4 +1,4 @@
-/** Catalogue of logged events. */
+/** Log events of the adapters. */
 import { defineEvents } from '@jasmineroute/core';
 
 export const engineEvents = defineEvents({
--- a/packages/engine/src/http/body.ts
+++ b/packages/engine/src/http/body.ts
@@ -1,4 +1,4 @@
-/** Bodies of engine answers: passed on in whole events, and ended only by their terminal marker. */
+/** Bodies of engine answers: forwarded in complete events, and ended only by their terminal marker. */
 import { fault } from '@jasmineroute/core';
 import type { Usage } from '../port/index.js';
 import { EventScanner, MAX_EVENT_BYTES, dataOf } from '../sse/index.js';
@@ -9,10 +9,10 @@
 /** Data of the event that ends a stream. */
 export const DONE = '[DONE]';
 
-/** Largest JSON answer that is looked into for its usage. */
+/** Largest JSON answer that is parsed for its usage. */
 const MAX_USAGE_BYTES = 1024 * 1024;
 
-/** A body with what is known of it on the way. */
+/** A body with its event count and usage. */
 export interface EngineBody {
   readonly body: AsyncIterable<Uint8Array>;
   readonly events?: () => number;
@@ -35,15 +35,15 @@
 }
 
 /**
- * A stream of events. The connection's end is not the stream's: an engine that dies may close its
- * connections in good order, and without the check the caller would take half an answer for a whole one.
+ * Body of an event stream. The end of the connection doesn't end the stream: an engine that dies may close its connections
+ * cleanly, and without the check the caller would take half an answer for a complete one.
  */
 export function eventBody(answer: WireAnswer): EngineBody {
   const body = new EventBody(answer.body[Symbol.asyncIterator]());
   return { body, events: () => body.scanner.events, usage: () => body.usage() };
 }
 
-/** Written out, and not as a generator: this is the path of every token. */
+/** A class and not a generator for speed: every token passes through it. */
 class EventBody implements AsyncIterable<Uint8Array>, AsyncIterator<Uint8Array, undefined> {
   readonly scanner = new EventScanner();
   private done = false;
@@ -57,7 +57,7 @@
   async next(): Promise<IteratorResult<Uint8Array, undefined>> {
     while (!this.done) {
       const read = await this.source.next();
-      if (read.done === true) throw cut('the stream ended before its terminal marker');
+      if (read.done === true) throw truncated('the stream ended before its terminal marker');
       const { bytes, events } = this.scanner.push(read.value);
       if (this.scanner.pending > MAX_EVENT_BYTES) throw tooLarge();
       if (events > 0) this.done = isDone(this.scanner.last);
@@ -66,7 +66,7 @@
     return this.return();
   }
 
-  /** Nothing that may follow the marker is waited for. */
+  /** Ends the source without waiting for anything after the marker. */
   async return(): Promise<IteratorResult<Uint8Array, undefined>> {
     await this.source.return?.();
     return { done: true, value: undefined };
@@ -84,23 +84,23 @@
   return event.length <= MAX_MARKER_BYTES && dataOf(event) === DONE;
 }
 
-/** An answer in one piece, JSON or not. */
-export function wholeBody(answer: WireAnswer, json: boolean): EngineBody {
-  const kept: Uint8Array[] = [];
+/** Body of an answer that is not an event stream, JSON or not. */
+export function nonStreamBody(answer: WireAnswer, isJsonType: boolean): EngineBody {
+  const chunks: Uint8Array[] = [];
   let size = 0;
   async function* read(): AsyncGenerator<Uint8Array> {
     for await (const chunk of answer.body) {
       size += chunk.length;
-      if (json && size <= MAX_USAGE_BYTES) kept.push(chunk);
+      if (isJsonType && size <= MAX_USAGE_BYTES) chunks.push(chunk);
       yield chunk;
     }
-    if (answer.framed) return;
-    if (!json || size > MAX_USAGE_BYTES || !isJson(Buffer.concat(kept))) {
-      throw cut('the answer has no length, so its end cannot be told from a cut');
+    if (answer.isFramed) return;
+    if (!isJsonType || size > MAX_USAGE_BYTES || !isJson(Buffer.concat(chunks))) {
+      throw truncated('the answer has no length, so it may be truncated');
     }
   }
   const usage = (): Usage | undefined =>
-    json && size <= MAX_USAGE_BYTES ? usageIn(Buffer.concat(kept).toString()) : undefined;
+    isJsonType && size <= MAX_USAGE_BYTES ? usageIn(Buffer.concat(chunks).toString()) : undefined;
   return { body: read(), usage };
 }
 
@@ -113,7 +113,7 @@
   }
 }
 
-function cut(message: string): FaultError {
+function truncated(message: string): FaultError {
   return new FaultError(fault('stream-broken', message));
 }
 
--- a/packages/engine/src/http/cacheEvents.ts
+++ b/packages/engine/src/http/cacheEvents.ts
@@ -1,25 +1,24 @@
-/** The engine's cache events as they come. */
+/** Reads the engine's stream of cache events. */
 import { fault } from '@jasmineroute/core';
 import type { Clock, Log } from '@jasmineroute/core';
 import { engineEvents } from '../events.js';
 import type { CacheEvent } from '../port/index.js';
-import { messagesOf } from '../sse/index.js';
+import { eventData } from '../sse/index.js';
 import { FaultError, exchange } from '../wire/index.js';
 import type { Connections } from '../wire/index.js';
 import { cacheEvent } from './schema.js';
 
-/** What reading cache events needs. */
+/** Dependencies and settings for reading cache events. */
 export interface CacheEventSource {
   readonly connections: Connections;
   readonly clock: Clock;
   readonly log: Log;
-  /** Longest silence on the stream; its heartbeat comments count as bytes. */
+  /** Longest silence on the stream, milliseconds; heartbeat comments count as bytes. */
   readonly silenceMs: number;
 }
 
 /**
- * Reads GET /kv_events. A malformed event is left out: its sequence number is then missing, which the reader
- * notices as a gap.
+ * Reads GET /kv_events. A malformed event is skipped: the reader detects its missing sequence number as a gap.
  */
 export async function* readCacheEvents(
   source: CacheEventSource,
@@ -40,7 +39,7 @@
     opened.value.abandon();
     throw new FaultError(fault('engine-failed', `${path}: status ${opened.value.status}`));
   }
-  for await (const data of messagesOf(opened.value.body)) {
+  for await (const data of eventData(opened.value.body)) {
     const event = parseEvent(data);
     if (event !== undefined) yield event;
     else source.log.event(engineEvents.malformedCacheEvent, { data: data.slice(0, 200) });
--- a/packages/engine/src/http/httpEngine.ts
+++ b/packages/engine/src/http/httpEngine.ts
@@ -1,4 +1,4 @@
-/** An engine over HTTP, per docs/engine-protocol.md. */
+/** Adapter for an engine over HTTP, as specified in docs/engine-protocol.md. */
 import { fault } from '@jasmineroute/core';
 import type { Clock, Fault, Log } from '@jasmineroute/core';
 import { err, ok } from 'neverthrow';
@@ -16,24 +16,24 @@
 } from '../port/index.js';
 import { Connections, exchange, headerOf } from '../wire/index.js';
 import type { WireAnswer, WireRequest } from '../wire/index.js';
-import { eventBody, wholeBody } from './body.js';
+import { eventBody, nonStreamBody } from './body.js';
 import { readCacheEvents } from './cacheEvents.js';
-import { Calls, statusFault } from './jsonClient.js';
+import { JsonClient, statusFault } from './jsonClient.js';
 import { orderCall } from './order.js';
-import { INCARNATION, REQUEST_ID, answerHeaders, bodyOf, headersOf } from './request.js';
-import { watchWholeAnswer } from './jsonAnswer.js';
+import { INCARNATION, REQUEST_ID, answerHeaders, engineBody, engineHeaders } from './request.js';
+import { watchJsonAnswer } from './jsonAnswer.js';
 import { healthBody, loadBody, snapshotBody } from './schema.js';
 
-/** Longest silence on a stream whose heartbeat comes every 500 ms. */
+/** Longest silence on a stream with a heartbeat every 500 ms. */
 export const DEFAULT_SILENCE_MS = 2_000;
 
-/** How to reach an engine. */
+/** Options of the adapter. */
 export interface HttpEngineOptions {
   /** "http://127.0.0.1:8000". */
   readonly baseUrl: string;
   readonly clock: Clock;
   readonly log: Log;
-  /** Longest silence on an event stream, milliseconds. */
+  /** Longest silence on an event stream before it is aborted, milliseconds. */
   readonly silenceMs?: number;
 }
 
@@ -44,25 +44,25 @@
 const SERVER_ERROR = 500;
 const UNAVAILABLE = 503;
 
-/** Statuses by which an engine says, before it has run anything, that it does not take a request. */
+/** Statuses with which an engine refuses a request before running anything. */
 const refusals: Readonly<Record<number, Fault>> = {
   [NOT_FOUND]: fault('model-not-loaded', 'the engine does not have the model', { ran: 'not-run' }),
-  [TOO_MANY]: fault('overloaded', 'the engine takes no more requests', { ran: 'not-run' }),
-  [UNAVAILABLE]: fault('overloaded', 'the engine takes no more requests', { ran: 'not-run' }),
+  [TOO_MANY]: fault('overloaded', 'the engine accepts no more requests', { ran: 'not-run' }),
+  [UNAVAILABLE]: fault('overloaded', 'the engine accepts no more requests', { ran: 'not-run' }),
 };
 
-/** A position in a stream that no event has: only heartbeats and the end come from there on. */
-const PAST_THE_END = 1_000_000_000;
+/** A stream position beyond any event: a stream opened there carries only heartbeats and the end. */
+const BEYOND_LAST_EVENT = 1_000_000_000;
 
-/** An answer with the exchange that it came by. */
-interface Opened {
+/** An answer with its HTTP exchange. */
+interface OpenedAnswer {
   readonly answer: EngineAnswer;
   readonly wire: WireAnswer;
 }
 
 class HttpEngine implements Engine {
   private readonly connections: Connections;
-  private readonly calls: Calls;
+  private readonly client: JsonClient;
   private readonly clock: Clock;
   private readonly log: Log;
   private readonly silenceMs: number;
@@ -72,25 +72,25 @@
     this.log = options.log;
     this.silenceMs = options.silenceMs ?? DEFAULT_SILENCE_MS;
     this.connections = new Connections(options.baseUrl);
-    this.calls = new Calls(this.connections, options.clock);
+    this.client = new JsonClient(this.connections, options.clock);
   }
 
   async send(request: EngineRequest, signal: AbortSignal): Promise<Result<EngineAnswer, Fault>> {
-    const body = bodyOf(request);
+    const body = engineBody(request);
     if (body.isErr()) return err(body.error);
     const { stream, bytes } = body.value;
     const wire = {
       method: request.method,
       path: request.path,
-      headers: { 'content-type': 'application/json', ...headersOf(request) },
+      headers: { 'content-type': 'application/json', ...engineHeaders(request) },
       body: bytes,
       headSilenceMs: stream ? this.silenceMs : undefined,
       bodySilenceMs: this.silenceMs,
     };
     const opened = stream
       ? await this.open(request, signal, wire)
-      : await this.openWhole(request, signal, wire);
-    return opened.andThen((answer) => this.taken(answer));
+      : await this.openJson(request, signal, wire);
+    return opened.andThen((answer) => this.acceptOrFail(answer));
   }
 
   async resume(
@@ -102,24 +102,25 @@
     return opened.andThen(({ answer, wire }) => {
       if (answer.status === OK) return ok(answer);
       wire.abandon();
-      if (answer.status === NOT_FOUND) return err(fault('target-lost', 'the engine lost the answer'));
-      return err(fault('engine-failed', `resuming: status ${answer.status}`));
+      if (answer.status === NOT_FOUND)
+        return err(fault('target-lost', 'the engine no longer has the answer'));
+      return err(fault('engine-failed', `resuming the answer failed with status ${answer.status}`));
     });
   }
 
   async cancel(attemptId: string, signal: AbortSignal): Promise<Result<void, Fault>> {
-    const answer = await this.calls.call('POST', '/abort_request', signal, { rid: attemptId });
+    const answer = await this.client.call('POST', '/abort_request', signal, { rid: attemptId });
     return answer.andThen(({ status, body }) =>
       status === OK ? ok() : err(statusFault('/abort_request', status, body)),
     );
   }
 
   state(signal: AbortSignal): Promise<Result<EngineState, Fault>> {
-    return this.calls.read(healthBody, '/health', signal, [200, UNAVAILABLE]);
+    return this.client.read(healthBody, '/health', signal, [200, UNAVAILABLE]);
   }
 
   async load(signal: AbortSignal): Promise<Result<EngineLoad, Fault>> {
-    const body = await this.calls.read(loadBody, '/load', signal);
+    const body = await this.client.read(loadBody, '/load', signal);
     return body.map(({ queued_tokens: queuedTokens, ...rest }) => ({ ...rest, queuedTokens }));
   }
 
@@ -129,12 +130,12 @@
   }
 
   cacheSnapshot(signal: AbortSignal): Promise<Result<CacheSnapshot, Fault>> {
-    return this.calls.read(snapshotBody, '/kv_snapshot', signal);
+    return this.client.read(snapshotBody, '/kv_snapshot', signal);
   }
 
   async order(order: EngineOrder, fence: bigint, signal: AbortSignal): Promise<Result<void, Fault>> {
     const { path, body } = orderCall(order, fence);
-    const answer = await this.calls.call('POST', path, signal, body);
+    const answer = await this.client.call('POST', path, signal, body);
     return answer.andThen((value) => {
       if (value.status === OK) return ok();
       const detail = statusFault(path, value.status, value.body);
@@ -147,7 +148,7 @@
     hashes: readonly string[],
     signal: AbortSignal,
   ): Promise<Result<void, Fault>> {
-    const answer = await this.calls.call('POST', '/kv/import', signal, { from, hashes });
+    const answer = await this.client.call('POST', '/kv/import', signal, { from, hashes });
     return answer.andThen(({ status, body }) =>
       status === OK ? ok() : err(statusFault('/kv/import', status, body)),
     );
@@ -161,53 +162,57 @@
     request: EngineRequest,
     signal: AbortSignal,
     wire: WireRequest,
-  ): Promise<Result<Opened, Fault>> {
+  ): Promise<Result<OpenedAnswer, Fault>> {
     const pool = this.connections.pool(request.idempotent === false);
     const opened = await exchange(pool, wire, this.clock, signal);
     if (opened.isErr()) return err(opened.error);
-    return this.checked(request, opened.value);
+    return this.checkId(request, opened.value);
   }
 
-  /** Opens the stream of a known answer on a new connection. */
+  /** Opens the event stream of an earlier request on a new connection. */
   private openStream(
     request: EngineRequest,
     fromEvent: number,
     signal: AbortSignal,
-  ): Promise<Result<Opened, Fault>> {
+  ): Promise<Result<OpenedAnswer, Fault>> {
     return this.open(request, signal, {
       method: 'GET',
       path: `/v1/streams/${encodeURIComponent(request.attemptId)}?from=${fromEvent}`,
-      headers: headersOf({ ...request, headers: [] }),
+      headers: engineHeaders({ ...request, headers: [] }),
       headSilenceMs: this.silenceMs,
       bodySilenceMs: this.silenceMs,
     });
   }
 
-  private async openWhole(
+  private async openJson(
     request: EngineRequest,
     signal: AbortSignal,
     wire: WireRequest,
-  ): Promise<Result<Opened, Fault>> {
+  ): Promise<Result<OpenedAnswer, Fault>> {
     const { clock, silenceMs } = this;
-    const [cut, here] = [new AbortController(), new AbortController()];
-    const follow = async (bound: AbortSignal) => {
-      const opened = await this.openStream(request, PAST_THE_END, bound);
+    const [lost, arrived] = [new AbortController(), new AbortController()];
+    const followStream = async (bound: AbortSignal) => {
+      const opened = await this.openStream(request, BEYOND_LAST_EVENT, bound);
       if (opened.isOk() && opened.value.answer.status !== OK) opened.value.wire.abandon();
       return opened.map(({ answer }) => answer);
     };
-    void watchWholeAnswer({ clock, silenceMs, follow }, AbortSignal.any([signal, here.signal]), (reason) => {
-      cut.abort(reason);
-    });
-    const opened = await this.open(request, AbortSignal.any([signal, cut.signal]), wire);
-    here.abort(new Error('the answer is here'));
+    void watchJsonAnswer(
+      { clock, silenceMs, followStream },
+      AbortSignal.any([signal, arrived.signal]),
+      (reason) => {
+        lost.abort(reason);
+      },
+    );
+    const opened = await this.open(request, AbortSignal.any([signal, lost.signal]), wire);
+    arrived.abort(new Error('the answer has arrived'));
     return opened;
   }
 
   /**
-   * An answer that belongs to another request would hand one caller's text to another. The echoed id shows
-   * it; the connection is destroyed then, as whatever follows on it is shifted too.
+   * Checks the echoed request id: an answer to another request would leak one caller's text to another. On a mismatch the
+   * connection is destroyed, as all later answers on it are out of step too.
    */
-  private checked(request: EngineRequest, wire: WireAnswer): Result<Opened, Fault> {
+  private checkId(request: EngineRequest, wire: WireAnswer): Result<OpenedAnswer, Fault> {
     const echoed = headerOf(wire.headers, REQUEST_ID);
     if (echoed !== request.attemptId) {
       wire.abandon();
@@ -215,16 +220,18 @@
       return err(fault('answer-mismatch', 'the engine answered with the id of another request'));
     }
     const { status, headers } = wire;
-    const type = headerOf(headers, 'content-type') ?? '';
+    const contentType = headerOf(headers, 'content-type') ?? '';
     const incarnation = headerOf(headers, INCARNATION);
-    const events = type.startsWith('text/event-stream');
-    const body = events ? eventBody(wire) : wholeBody(wire, type.startsWith('application/json'));
-    const answer = { status, headers: answerHeaders(headers, !events), incarnation, ...body };
+    const isEventStream = contentType.startsWith('text/event-stream');
+    const body = isEventStream
+      ? eventBody(wire)
+      : nonStreamBody(wire, contentType.startsWith('application/json'));
+    const answer = { status, headers: answerHeaders(headers, !isEventStream), incarnation, ...body };
     return ok({ answer, wire });
   }
 
-  /** Tells an answer from a refusal and from a failure of the engine. */
-  private taken({ answer, wire }: Opened): Result<EngineAnswer, Fault> {
+  /** Returns the answer, or a fault for a refusal or a failure of the engine. */
+  private acceptOrFail({ answer, wire }: OpenedAnswer): Result<EngineAnswer, Fault> {
     const refusal = refusals[answer.status];
     if (refusal === undefined && answer.status < SERVER_ERROR) return ok(answer);
     wire.abandon();
@@ -232,7 +239,7 @@
   }
 }
 
-/** Makes the adapter for one engine. */
+/** Creates the adapter for one engine. */
 export function createHttpEngine(options: HttpEngineOptions): Engine {
   return new HttpEngine(options);
 }
--- a/packages/engine/src/http/index.ts
+++ b/packages/engine/src/http/index.ts
@@ -1,3 +1,3 @@
-/** The adapter for engines that speak docs/engine-protocol.md. */
+/** Adapter for engines that implement docs/engine-protocol.md. */
 export * from './httpEngine.js';
 export * from './schema.js';
--- a/packages/engine/src/http/jsonAnswer.ts
+++ b/packages/engine/src/http/jsonAnswer.ts
@@ -1,26 +1,26 @@
-/** Keeps an answer in one piece from being waited for on a connection that is silent for good. */
+/** Detects a JSON answer that is lost on a connection that stays silent. */
 import { fault } from '@jasmineroute/core';
 import type { Clock, Fault } from '@jasmineroute/core';
 import type { Result } from 'neverthrow';
 import type { EngineAnswer } from '../port/index.js';
 import { FaultError } from '../wire/index.js';
 
-/** What the watch needs. */
-export interface WholeAnswerWatch {
+/** Dependencies and settings of the watch. */
+export interface JsonAnswerWatch {
   readonly clock: Clock;
-  /** How long an answer is waited for before the engine is asked about it; and again after it has ended. */
+  /** Wait for the answer before the engine is asked for its progress, and again after it has ended there, milliseconds. */
   readonly silenceMs: number;
-  /** Opens the stream of the answer's events on a new connection, past its last event; any status. */
-  readonly follow: (signal: AbortSignal) => Promise<Result<EngineAnswer, Fault>>;
+  /** Opens the answer's event stream on a new connection, beyond its last event; any status. */
+  readonly followStream: (signal: AbortSignal) => Promise<Result<EngineAnswer, Fault>>;
 }
 
 const OK = 200;
 
-/** What the engine says of the answer; nothing when it does not know it, or cannot tell. */
+/** Progress of the answer at the engine; unknown: it has no such answer; broken: it could not be asked. */
 type Progress = 'ended' | 'unknown' | 'broken';
 
-async function progressOf(watch: WholeAnswerWatch, signal: AbortSignal): Promise<Progress> {
-  const followed = await watch.follow(signal);
+async function progressOf(watch: JsonAnswerWatch, signal: AbortSignal): Promise<Progress> {
+  const followed = await watch.followStream(signal);
   if (followed.isErr()) return 'broken';
   if (followed.value.status !== OK) return 'unknown';
   const iterator = followed.value.body[Symbol.asyncIterator]();
@@ -33,15 +33,14 @@
 }
 
 /**
- * A JSON answer has no heartbeat: its connection is as silent while the engine works as it is when something
- * between the two has lost track of it, and then the answer would be waited for until the deadline. So the
- * engine is asked on another connection, which does have one. Calls `give up` when the answer has ended there
- * and does not come.
+ * Watches a JSON answer. It has no heartbeat: its connection is as silent while the engine works as it is when a middlebox has
+ * dropped it, and the caller would wait until the deadline. So the engine is asked over an event stream on another connection,
+ * which has a heartbeat. Calls `abort` when the answer has ended there and does not arrive.
  */
-export async function watchWholeAnswer(
-  watch: WholeAnswerWatch,
+export async function watchJsonAnswer(
+  watch: JsonAnswerWatch,
   signal: AbortSignal,
-  giveUp: (reason: Error) => void,
+  abort: (reason: Error) => void,
 ): Promise<void> {
   const { clock, silenceMs } = watch;
   const pause = (): Promise<void> => clock.sleep(silenceMs, signal).catch(() => undefined);
@@ -52,5 +51,5 @@
     await pause();
   }
   if (progress !== 'ended' || signal.aborted) return;
-  giveUp(new FaultError(fault('stream-broken', 'the answer is finished and does not come')));
+  abort(new FaultError(fault('stream-broken', 'the engine has finished the answer, but it did not arrive')));
 }
--- a/packages/engine/src/http/jsonClient.ts
+++ b/packages/engine/src/http/jsonClient.ts
@@ -1,4 +1,4 @@
-/** Short JSON calls to an engine. */
+/** JSON calls to an engine. */
 import { fault } from '@jasmineroute/core';
 import type { Clock, Fault } from '@jasmineroute/core';
 import { err, ok } from 'neverthrow';
@@ -9,22 +9,22 @@
 
 /** Largest JSON answer that is read. */
 const MAX_JSON_BYTES = 256 * 1024 * 1024;
-const MAX_TEXT = 200;
+const MAX_DETAIL_BYTES = 200;
 
-/** A status that is not a success. */
+/** Status and body of an answer. */
 export interface CallAnswer {
   readonly status: number;
   readonly body: Uint8Array;
 }
 
 /** JSON calls over the connections to one engine. */
-export class Calls {
+export class JsonClient {
   constructor(
     private readonly connections: Connections,
     private readonly clock: Clock,
   ) {}
 
-  /** Calls and reads the whole answer, whatever its status. */
+  /** Calls and reads the complete answer, whatever its status. */
   async call(
     method: string,
     path: string,
@@ -43,7 +43,7 @@
       signal,
     );
     if (opened.isErr()) return err(opened.error);
-    return this.whole(opened.value);
+    return this.readAnswer(opened.value);
   }
 
   /** Calls and checks the answer against a schema; a status outside `statuses` is a fault. */
@@ -60,7 +60,7 @@
     return parseAnswer(schema, path, body);
   }
 
-  private async whole(answer: WireAnswer): Promise<Result<CallAnswer, Fault>> {
+  private async readAnswer(answer: WireAnswer): Promise<Result<CallAnswer, Fault>> {
     const body = await readWhole(answer, MAX_JSON_BYTES);
     return body.map((bytes) => ({ status: answer.status, body: bytes }));
   }
@@ -75,14 +75,16 @@
   try {
     const parsed = schema.safeParse(JSON.parse(Buffer.from(body).toString()));
     if (parsed.success) return ok(parsed.data);
-    return err(fault('engine-failed', `${path}: ${parsed.error.issues[0]?.message ?? 'not as described'}`));
+    return err(
+      fault('engine-failed', `${path}: ${parsed.error.issues[0]?.message ?? 'does not match the schema'}`),
+    );
   } catch (cause) {
     return err(fault('engine-failed', `${path}: not JSON`, { cause }));
   }
 }
 
-/** A fault for a status that was not expected. */
+/** Fault for an unexpected status. */
 export function statusFault(path: string, status: number, body: Uint8Array): Fault {
-  const text = Buffer.from(body.subarray(0, MAX_TEXT)).toString();
+  const text = Buffer.from(body.subarray(0, MAX_DETAIL_BYTES)).toString();
   return fault('engine-failed', `${path}: status ${status} ${text}`);
 }
--- a/packages/engine/src/http/order.ts
+++ b/packages/engine/src/http/order.ts
@@ -1,4 +1,4 @@
-/** Orders to engines on the wire. */
+/** HTTP form of orders to engines. */
 import { match } from 'ts-pattern';
 import type { EngineOrder } from '../port/index.js';
 
@@ -8,7 +8,7 @@
   readonly body: Readonly<Record<string, unknown>>;
 }
 
-/** The call for an order. The fencing number goes out as a JSON number. */
+/** Returns the call for an order. The fencing token is sent as a JSON number. */
 export function orderCall(order: EngineOrder, fence: bigint): OrderCall {
   const number = Number(fence);
   const adapterBody = (adapter: { model: string; name: string; version: string }) => ({
--- a/packages/engine/src/http/request.ts
+++ b/packages/engine/src/http/request.ts
@@ -6,17 +6,17 @@
 import type { EngineRequest, HeaderField } from '../port/index.js';
 import { parseJson } from '../prompt/index.js';
 
-/** Header that carries the id which the engine knows an attempt by, and echoes. */
+/** Header with the id of an attempt, which the engine echoes. */
 export const REQUEST_ID = 'x-request-id';
 
-/** Header that carries the id of the caller's request, the same for all its attempts. */
+/** Header with the id of the caller's request, the same for all its attempts. */
 export const PARENT_REQUEST_ID = 'x-parent-request-id';
 
-/** Header that names the process that answers. */
+/** Header with the incarnation of the engine that answers. */
 export const INCARNATION = 'x-engine-incarnation';
 
-/** Headers of one connection, or set by the adapter itself. */
-const dropped = new Set([
+/** Headers that apply to a single connection, or that the adapter sets itself. */
+const HOP_BY_HOP_HEADERS = new Set([
   'connection',
   'content-length',
   'expect',
@@ -29,36 +29,36 @@
   'upgrade',
 ]);
 
-/** Headers that may pass from one hop to the next; the last of one name counts, joined lists aside. */
-export function passedHeaders(headers: readonly HeaderField[]): Record<string, string> {
-  const passed: Record<string, string> = {};
+/** Headers that are forwarded to the next hop; the values of one name are joined into a list. */
+export function forwardedHeaders(headers: readonly HeaderField[]): Record<string, string> {
+  const forwarded: Record<string, string> = {};
   for (const { name, value } of headers) {
     const key = name.toLowerCase();
-    if (dropped.has(key)) continue;
-    const known = passed[key];
-    passed[key] = known === undefined ? value : `${known}, ${value}`;
+    if (HOP_BY_HOP_HEADERS.has(key)) continue;
+    const previous = forwarded[key];
+    forwarded[key] = previous === undefined ? value : `${previous}, ${value}`;
   }
-  return passed;
+  return forwarded;
 }
 
-/** Headers of an answer that the caller may see: those of one connection or one attempt are left out. */
-export function answerHeaders(headers: readonly HeaderField[], whole: boolean): HeaderField[] {
+/** Headers of an answer for the caller, without those of a single connection or attempt. */
+export function answerHeaders(headers: readonly HeaderField[], keepLength: boolean): HeaderField[] {
   return headers.filter(({ name }) => {
-    if (name === 'content-length') return whole;
-    return !dropped.has(name) && name !== REQUEST_ID && name !== INCARNATION;
+    if (name === 'content-length') return keepLength;
+    return !HOP_BY_HOP_HEADERS.has(name) && name !== REQUEST_ID && name !== INCARNATION;
   });
 }
 
 /** Headers of an engine request. */
-export function headersOf(request: EngineRequest): Record<string, string> {
+export function engineHeaders(request: EngineRequest): Record<string, string> {
   return {
-    ...passedHeaders(request.headers),
+    ...forwardedHeaders(request.headers),
     [REQUEST_ID]: request.attemptId,
     [PARENT_REQUEST_ID]: request.requestId,
   };
 }
 
-/** A body ready to go out. */
+/** A request body as sent to the engine. */
 export interface EngineRequestBody {
   readonly bytes: Uint8Array;
   readonly stream: boolean;
@@ -71,20 +71,20 @@
 }
 
 /**
- * Adds the engine's own fields. They go behind the caller's last one, so that the prompt is not written anew.
- * A caller that sends the fields itself could ask for another customer's cache, so its own are taken out.
+ * Adds the fields for the engine. They are appended after the caller's last one, so that the prompt is not serialized again.
+ * A caller that sends these fields itself could request another customer's cache, so its own are removed.
  */
-export function bodyOf(request: EngineRequest): Result<EngineRequestBody, Fault> {
+export function engineBody(request: EngineRequest): Result<EngineRequestBody, Fault> {
   return parseJson(request.body).andThen((json) => {
     if (!isObject(json)) return err(fault('invalid-request', 'the body is not a JSON object'));
     const stream = json.stream === true;
-    // Engines run the smaller number first; here the larger goes first.
-    const own = { priority: -request.priority, cache_salt: request.cacheSalt };
+    // Engines run the smaller number first; in this system the larger has priority.
+    const engineFields = { priority: -request.priority, cache_salt: request.cacheSalt };
     if ('priority' in json || 'cache_salt' in json) {
-      return ok({ bytes: Buffer.from(JSON.stringify({ ...json, ...own })), stream });
+      return ok({ bytes: Buffer.from(JSON.stringify({ ...json, ...engineFields })), stream });
     }
     const empty = Object.keys(json).length === 0;
-    const tail = `${empty ? '' : ','}${JSON.stringify(own).slice(1)}`;
+    const tail = `${empty ? '' : ','}${JSON.stringify(engineFields).slice(1)}`;
     const end = request.body.lastIndexOf(CLOSING_BRACE);
     return ok({ bytes: Buffer.concat([request.body.subarray(0, end), Buffer.from(tail)]), stream });
   });
--- a/packages/engine/src/http/schema.ts
+++ b/packages/engine/src/http/schema.ts
@@ -1,8 +1,8 @@
-/** Messages of docs/engine-protocol.md, as far as the adapter reads them. */
+/** Schemas of the messages of docs/engine-protocol.md that the adapter reads. */
 import * as z from 'zod';
 import type { CacheEvent } from '../port/index.js';
 
-const named = z.object({ name: z.string(), version: z.string() });
+const versionedName = z.object({ name: z.string(), version: z.string() });
 
 /** Answer of GET /health. */
 export const healthBody = z.object({
@@ -11,7 +11,7 @@
   capacity: z.number().int().positive().default(1),
   role: z.string().default(''),
   models: z
-    .array(z.object({ model: z.string(), version: z.string(), adapters: z.array(named).default([]) }))
+    .array(z.object({ model: z.string(), version: z.string(), adapters: z.array(versionedName).default([]) }))
     .default([]),
 });
 
@@ -23,12 +23,12 @@
   queued_tokens: z.number(),
 });
 
-const place = { incarnation: z.string(), sequence: z.number().int().nonnegative() };
+const position = { incarnation: z.string(), sequence: z.number().int().nonnegative() };
 
 const storedEvent = z
   .object({
     type: z.literal('stored'),
-    ...place,
+    ...position,
     parent: z.string().nullable().default(null),
     hashes: z.array(z.string()),
     tokens: z.array(z.number().int()),
@@ -43,19 +43,19 @@
     return { ...rest, blockTokens, salt: salt ?? '', adapter: adapter ?? '' };
   });
 
-const removedEvent = z.object({ type: z.literal('removed'), ...place, hashes: z.array(z.string()) });
-const clearedEvent = z.object({ type: z.literal('cleared'), ...place });
+const removedEvent = z.object({ type: z.literal('removed'), ...position, hashes: z.array(z.string()) });
+const clearedEvent = z.object({ type: z.literal('cleared'), ...position });
 
 /** One event of GET /kv_events. */
 export const cacheEvent = z.union([storedEvent, removedEvent, clearedEvent]);
 
 /** Answer of GET /kv_snapshot. */
-export const snapshotBody = z.object({ ...place, events: z.array(cacheEvent) });
+export const snapshotBody = z.object({ ...position, events: z.array(cacheEvent) });
 
 /** Answer of POST /abort_request. */
 export const abortBody = z.object({ state: z.enum(['unknown', 'cancelled', 'done']) });
 
-/** The part of an answer that counts tokens. */
+/** Token counts in an answer. */
 export const usageBody = z.object({
   usage: z.object({
     prompt_tokens: z.number(),
--- a/packages/engine/src/index.ts
+++ b/packages/engine/src/index.ts
@@ -1,4 +1,4 @@
-/** The port to targets and its adapters. */
+/** Port to engines and plain services, and its adapters. */
 export * from './adapter/index.js';
 export * from './events.js';
 export * from './http/index.js';
--- a/packages/engine/src/plain/plainTarget.ts
+++ b/packages/engine/src/plain/plainTarget.ts
@@ -1,4 +1,4 @@
-/** A plain HTTP service as a target: requests pass unchanged. */
+/** Adapter for a plain HTTP service: requests are forwarded unchanged. */
 import { createConnection } from 'node:net';
 import { fault } from '@jasmineroute/core';
 import type { Clock, Fault, Log } from '@jasmineroute/core';
@@ -7,21 +7,21 @@
 import type { Engine, EngineAnswer, EngineRequest, EngineState } from '../port/index.js';
 import { FaultError, Connections, exchange, headerOf } from '../wire/index.js';
 import type { WireAnswer } from '../wire/index.js';
-import { REQUEST_ID, answerHeaders, passedHeaders } from '../http/request.js';
+import { REQUEST_ID, answerHeaders, forwardedHeaders } from '../http/request.js';
 
-/** How to reach a plain service. */
+/** Options of the adapter for a plain service. */
 export interface PlainTargetOptions {
   /** "http://127.0.0.1:8000". */
   readonly baseUrl: string;
   readonly clock: Clock;
   readonly log: Log;
-  /** Concurrent requests that it can take. */
+  /** Concurrent requests that it can handle. */
   readonly capacity: number;
-  /** Path that answers below 500 while the service can work; absent: an open port is enough. */
+  /** Path that answers with a status below 500 while the service is healthy; absent: an open port is enough. */
   readonly healthPath?: string;
 }
 
-/** A plain service does not tell its starts apart. */
+/** Incarnation of any plain service: it doesn't report its restarts. */
 export const PLAIN_INCARNATION = 'plain';
 
 const SERVER_ERROR = 500;
@@ -39,16 +39,16 @@
       {
         method: request.method,
         path: request.path,
-        headers: { ...passedHeaders(request.headers), [REQUEST_ID]: request.requestId },
+        headers: { ...forwardedHeaders(request.headers), [REQUEST_ID]: request.requestId },
         body: request.body,
       },
       this.options.clock,
       signal,
     );
-    return opened.andThen((answer) => this.checked(request, answer));
+    return opened.andThen((answer) => this.checkId(request, answer));
   }
 
-  /** A plain service knows no cancelling: the aborted signal of `send` closes the connection, no more. */
+  /** No-op, as a plain service has no call to cancel: the aborted signal of `send` closes the connection. */
   cancel(): Promise<Result<void, Fault>> {
     return Promise.resolve(ok());
   }
@@ -56,7 +56,7 @@
   async state(signal: AbortSignal): Promise<Result<EngineState, Fault>> {
     const { capacity, healthPath } = this.options;
     const ready =
-      healthPath === undefined ? await this.portOpen(signal) : await this.healthy(healthPath, signal);
+      healthPath === undefined ? await this.isPortOpen(signal) : await this.isHealthy(healthPath, signal);
     return ready.map((value) => ({ incarnation: PLAIN_INCARNATION, ready: value, models: [], capacity }));
   }
 
@@ -64,8 +64,8 @@
     return this.connections.close();
   }
 
-  /** Many plain services echo no id; one that does must echo the right one. */
-  private checked(request: EngineRequest, answer: WireAnswer): Result<EngineAnswer, Fault> {
+  /** Checks the echoed request id, if any: many plain services echo none. */
+  private checkId(request: EngineRequest, answer: WireAnswer): Result<EngineAnswer, Fault> {
     const echoed = headerOf(answer.headers, REQUEST_ID);
     if (echoed !== undefined && echoed !== request.requestId) {
       answer.abandon();
@@ -74,11 +74,11 @@
     return ok({
       status: answer.status,
       headers: answerHeaders(answer.headers, true),
-      body: framedBody(answer),
+      body: checkedBody(answer),
     });
   }
 
-  private async healthy(path: string, signal: AbortSignal): Promise<Result<boolean, Fault>> {
+  private async isHealthy(path: string, signal: AbortSignal): Promise<Result<boolean, Fault>> {
     const request = { method: 'GET', path, headers: {} };
     const answer = await exchange(this.connections.pool(true), request, this.options.clock, signal);
     return answer.map((value) => {
@@ -87,7 +87,7 @@
     });
   }
 
-  private portOpen(signal: AbortSignal): Promise<Result<boolean, Fault>> {
+  private isPortOpen(signal: AbortSignal): Promise<Result<boolean, Fault>> {
     const { hostname, port } = new URL(this.options.baseUrl);
     return new Promise((resolve) => {
       const socket = createConnection({ host: hostname, port: Number(port || '80'), signal });
@@ -102,16 +102,14 @@
   }
 }
 
-/** Without a length, an answer's end cannot be told from a cut, so it is not passed on as whole. */
-async function* framedBody(answer: WireAnswer): AsyncGenerator<Uint8Array> {
+/** Fails at the end of an answer without a length, as its end can't be distinguished from a lost connection. */
+async function* checkedBody(answer: WireAnswer): AsyncGenerator<Uint8Array> {
   yield* answer.body;
-  if (answer.framed) return;
-  throw new FaultError(
-    fault('stream-broken', 'the answer has no length, so its end cannot be told from a cut'),
-  );
+  if (answer.isFramed) return;
+  throw new FaultError(fault('stream-broken', 'the answer has no length, so it may be truncated'));
 }
 
-/** Makes the adapter for one plain service. */
+/** Creates the adapter for one plain service. */
 export function createPlainTarget(options: PlainTargetOptions): Engine {
   return new PlainTarget(options);
 }
--- a/packages/engine/src/port/engine.ts
+++ b/packages/engine/src/port/engine.ts
@@ -1,4 +1,4 @@
-/** The port to a model engine, or to a plain service, behind an agent. */
+/** Port to a model engine or a plain service behind an agent. */
 import type { Fault } from '@jasmineroute/core';
 import type { Result } from 'neverthrow';
 
@@ -8,7 +8,7 @@
   readonly value: string;
 }
 
-/** A request as the target is to get it. */
+/** A request to a target. */
 export interface EngineRequest {
   readonly requestId: string;
   readonly attemptId: string;
@@ -18,31 +18,31 @@
   readonly headers: readonly HeaderField[];
   readonly body: Uint8Array;
   readonly priority: number;
-  /** Keeps the engine's cache of one customer from another's: goes into its hash of the first block. */
+  /** Separates the cached blocks of customers: part of the engine's hash of the first block. */
   readonly cacheSalt: string;
   readonly deadlineMs: number;
-  /** False: may not run twice, so the target gets it on a connection that was never used. */
+  /** False: must not run twice, so it is sent on a new connection. */
   readonly idempotent?: boolean;
 }
 
-/** Tokens of one request as the target counted them. */
+/** Token counts of one request, as reported by the target. */
 export interface Usage {
   readonly promptTokens: number;
   readonly cachedTokens: number;
   readonly outputTokens: number;
 }
 
-/** Start of an answer. The body comes as it arrives; it ends only after its terminal marker. */
+/** An answer whose body is streamed as it arrives. The body ends only after its terminal marker. */
 export interface EngineAnswer {
   readonly status: number;
   readonly headers: readonly HeaderField[];
-  /** Throws a Fault on a break. A clean end means that the answer is whole. */
+  /** Throws a FaultError on a break. A clean end means that the answer is complete. */
   readonly body: AsyncIterable<Uint8Array>;
-  /** The target's incarnation that answers, when it says so. */
+  /** Incarnation of the target that answers, if reported. */
   readonly incarnation?: string;
-  /** Whole events given out so far, for an answer that can be resumed; absent for others. */
+  /** Number of complete events read so far, for an answer that can be resumed; absent for others. */
   readonly events?: () => number;
-  /** What the target counted; known once the body has ended. */
+  /** Token counts; known once the body has ended. */
   readonly usage?: () => Usage | undefined;
 }
 
@@ -53,9 +53,9 @@
   readonly adapters: readonly { readonly name: string; readonly version: string }[];
 }
 
-/** What an engine says of itself. */
+/** State that an engine reports. */
 export interface EngineState {
-  /** New for each start. */
+  /** Differs for each start. */
   readonly incarnation: string;
   readonly ready: boolean;
   readonly models: readonly EngineModel[];
@@ -98,15 +98,15 @@
     }
   | { readonly type: 'cleared'; readonly incarnation: string; readonly sequence: number };
 
-/** The whole cache at one moment; parents come before children. */
+/** Snapshot of the whole cache; parents come before children. */
 export interface CacheSnapshot {
   readonly incarnation: string;
-  /** Sequence of the last event that is in it. */
+  /** Sequence number of the last event included. */
   readonly sequence: number;
   readonly events: readonly CacheEvent[];
 }
 
-/** An order to an engine. Carries a fencing number; some engines refuse an old one, others ignore it. */
+/** An order to an engine. It is sent with a fencing token; some engines reject an old one, others ignore it. */
 export type EngineOrder =
   | { readonly type: 'load-model'; readonly model: string; readonly version: string }
   | { readonly type: 'unload-model'; readonly model: string; readonly version: string }
@@ -119,11 +119,11 @@
     }
   | { readonly type: 'change-role'; readonly role: string };
 
-/** A model engine or a plain service. All calls are bounded in time by the signal. */
+/** A model engine or a plain service. The signal bounds the time of each call. */
 export interface Engine {
-  /** Sends a request. Its fault says whether any byte may have left. Aborting the signal cancels the work. */
+  /** Sends a request. A fault states whether the request may have run. Aborting the signal cancels the work. */
   send(request: EngineRequest, signal: AbortSignal): Promise<Result<EngineAnswer, Fault>>;
-  /** Continues an answer after `fromEvent` of its SSE events on a new connection; not all engines can. */
+  /** Continues an answer after `fromEvent` of its SSE events on a new connection; optional. */
   resume?(
     request: EngineRequest,
     fromEvent: number,
@@ -133,13 +133,13 @@
   cancel(attemptId: string, signal: AbortSignal): Promise<Result<void, Fault>>;
   state(signal: AbortSignal): Promise<Result<EngineState, Fault>>;
   load?(signal: AbortSignal): Promise<Result<EngineLoad, Fault>>;
-  /** Cache events from `fromSequence` on as they come; ends or throws when the connection does. */
+  /** Cache events from `fromSequence` on as they arrive; ends or throws when the connection does. */
   cacheEvents?(fromSequence: number, signal: AbortSignal): AsyncIterable<CacheEvent>;
-  /** All blocks now in the cache, as stored events of one sequence. */
+  /** All blocks in the cache, as stored events of one sequence number. */
   cacheSnapshot?(signal: AbortSignal): Promise<Result<CacheSnapshot, Fault>>;
   order?(order: EngineOrder, fence: bigint, signal: AbortSignal): Promise<Result<void, Fault>>;
-  /** Imports blocks from another engine or from the store of kept KV cache. */
+  /** Imports blocks from another engine or from a KV cache store. */
   importCache?(from: string, hashes: readonly string[], signal: AbortSignal): Promise<Result<void, Fault>>;
-  /** Cuts all connections. */
+  /** Closes all connections. */
   close?(): Promise<void>;
 }
--- a/packages/engine/src/prompt/prompt.ts
+++ b/packages/engine/src/prompt/prompt.ts
@@ -1,4 +1,4 @@
-/** What a request's body says about its prompt, as bytes that prefixes can be told by. */
+/** Reads the prompt from a request body, as bytes whose prefixes can be compared. */
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import { err, ok } from 'neverthrow';
@@ -7,7 +7,7 @@
 import { chatBody, completionBody } from './schema.js';
 import type { ChatBody, ChatMessage, CompletionBody } from './schema.js';
 
-/** A request as routing sees it. */
+/** The parts of a request that routing uses. */
 export interface Prompt {
   /** Model without its adapter. */
   readonly model: string;
@@ -16,13 +16,13 @@
   /** The prompt as the engine's template renders it, in UTF-8. */
   readonly bytes: Uint8Array;
   readonly stream: boolean;
-  /** Most output tokens that the caller asked for; absent: not said. */
+  /** Limit of output tokens that the caller requested; absent: none. */
   readonly maxTokens?: number;
-  /** Answers asked for at once. */
+  /** Number of answers requested at once. */
   readonly choices: number;
 }
 
-type Render = (body: unknown) => Result<Prompt, Fault>;
+type Renderer = (body: unknown) => Result<Prompt, Fault>;
 
 const decoder = new TextDecoder('utf-8', { fatal: true });
 
@@ -36,7 +36,7 @@
   return fault('invalid-request', message);
 }
 
-function check<S extends z.ZodType>(schema: S, body: unknown): Result<z.output<S>, Fault> {
+function parseBody<S extends z.ZodType>(schema: S, body: unknown): Result<z.output<S>, Fault> {
   const parsed = schema.safeParse(body);
   if (parsed.success) return ok(parsed.data);
   const issue = parsed.error.issues[0];
@@ -52,11 +52,11 @@
 }
 
 function chatText(body: ChatBody): string {
-  const blocks = body.messages.map((message) => `<|${message.role}|>\n${textOf(message)}\n`);
+  const turns = body.messages.map((message) => `<|${message.role}|>\n${textOf(message)}\n`);
   const continued = body.continue_final_message === true;
-  // A continued message has no end yet.
-  if (continued) return blocks.join('').slice(0, -1);
-  return `${blocks.join('')}<|assistant|>\n`;
+  // A continued message has no final line break yet.
+  if (continued) return turns.join('').slice(0, -1);
+  return `${turns.join('')}<|assistant|>\n`;
 }
 
 function tokenBytes(tokens: readonly number[]): Uint8Array {
@@ -76,8 +76,8 @@
   return tokenBytes(items.flat().filter((item) => typeof item === 'number'));
 }
 
-const renderChat: Render = (json) =>
-  check(chatBody, json).map((body) => ({
+const renderChat: Renderer = (json) =>
+  parseBody(chatBody, json).map((body) => ({
     ...splitModel(body.model),
     bytes: Buffer.from(chatText(body)),
     stream: body.stream ?? false,
@@ -85,8 +85,8 @@
     choices: body.n ?? 1,
   }));
 
-const renderCompletion: Render = (json) =>
-  check(completionBody, json).map((body) => ({
+const renderCompletion: Renderer = (json) =>
+  parseBody(completionBody, json).map((body) => ({
     ...splitModel(body.model),
     bytes: completionBytes(body.prompt),
     stream: body.stream ?? false,
@@ -94,15 +94,15 @@
     choices: body.n ?? 1,
   }));
 
-const renders: Readonly<Record<string, Render>> = {
+const renderers: Readonly<Record<string, Renderer>> = {
   '/v1/chat/completions': renderChat,
   '/v1/completions': renderCompletion,
 };
 
-/** Paths that model services answer. */
-export const promptPaths: readonly string[] = Object.keys(renders);
+/** Paths of model services. */
+export const promptPaths: readonly string[] = Object.keys(renderers);
 
-/** Parses JSON. */
+/** Parses a JSON body. */
 export function parseJson(body: Uint8Array): Result<unknown, Fault> {
   try {
     return ok(JSON.parse(decoder.decode(body)));
@@ -112,13 +112,13 @@
 }
 
 /**
- * Reads a request's body.
+ * Reads the prompt from a request body.
  * @param path path of the request, with or without its query.
  * @returns `unknown-route` for another path, `invalid-request` for a body of the wrong shape.
  */
 export function promptOf(path: string, body: Uint8Array): Result<Prompt, Fault> {
   const [bare = ''] = path.split('?', 1);
-  const render = Object.hasOwn(renders, bare) ? renders[bare] : undefined;
+  const render = Object.hasOwn(renderers, bare) ? renderers[bare] : undefined;
   if (render === undefined) return err(fault('unknown-route', `no such path: ${bare}`));
   return parseJson(body).andThen(render);
 }
--- a/packages/engine/src/prompt/schema.ts
+++ b/packages/engine/src/prompt/schema.ts
@@ -1,4 +1,4 @@
-/** The part of OpenAI-compatible bodies that routing needs. Everything else passes unread. */
+/** The fields of OpenAI-compatible bodies that routing needs. All others are forwarded unread. */
 import * as z from 'zod';
 
 const modelName = z.string().min(1).max(256);
@@ -26,7 +26,7 @@
   continue_final_message: z.boolean().nullish(),
 });
 
-/** Body of a completion. The prompt is a text, several, token ids, or several lists of them. */
+/** Body of a completion. The prompt is a text, a list of texts, a list of token ids, or a list of such lists. */
 export const completionBody = z.looseObject({
   ...shared,
   prompt: z.union([
--- a/packages/engine/src/sse/messages.ts
+++ b/packages/engine/src/sse/messages.ts
@@ -1,9 +1,9 @@
-/** Server-sent events as messages, for the streams that are read and not passed on. */
+/** Parses server-sent events, for streams that are consumed here and not forwarded. */
 import { createParser } from 'eventsource-parser';
 import type { EventSourceMessage } from 'eventsource-parser';
 
 /** Data of each event, in order. */
-export async function* messagesOf(body: AsyncIterable<Uint8Array>): AsyncGenerator<string> {
+export async function* eventData(body: AsyncIterable<Uint8Array>): AsyncGenerator<string> {
   const queue: EventSourceMessage[] = [];
   const parser = createParser({ onEvent: (event) => queue.push(event) });
   const decoder = new TextDecoder();
--- a/packages/engine/src/sse/scanner.spec.ts
+++ b/packages/engine/src/sse/scanner.spec.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import { EventScanner, dataOf } from './scanner.js';
 
-function cutAt(bytes: Buffer, cuts: readonly number[]): Buffer[] {
+function splitAt(bytes: Buffer, cuts: readonly number[]): Buffer[] {
   const places = [...new Set([0, ...cuts.map((cut) => cut % (bytes.length + 1)), bytes.length])].sort(
     (a, b) => a - b,
   );
@@ -10,7 +10,7 @@
 }
 
 describe('EventScanner', () => {
-  it('gives out the same events however the bytes are cut', () => {
+  it('returns the same events however the bytes are split', () => {
     const block = fc.oneof(
       fc.constant(': ping\n\n'),
       fc.constant('\n'),
@@ -21,7 +21,7 @@
       fc.property(fc.array(block), fc.array(fc.nat()), (blocks, cuts) => {
         const events = blocks.filter((text) => text.includes('data:'));
         const scanner = new EventScanner();
-        const parts = cutAt(Buffer.from(blocks.join('')), cuts).map((part) => scanner.push(part));
+        const parts = splitAt(Buffer.from(blocks.join('')), cuts).map((part) => scanner.push(part));
         expect(Buffer.concat(parts.map(({ bytes }) => bytes)).toString()).toBe(events.join(''));
         expect(scanner.events).toBe(events.length);
         expect(scanner.pending).toBe(0);
@@ -30,7 +30,7 @@
     );
   });
 
-  it('holds back an event that is not whole', () => {
+  it('buffers an incomplete event', () => {
     const scanner = new EventScanner();
     expect(scanner.push(Buffer.from('data: 1\n\ndata: 2')).events).toBe(1);
     expect(scanner.pending).toBe(7);
--- a/packages/engine/src/wire/answer.ts
+++ b/packages/engine/src/wire/answer.ts
@@ -1,4 +1,4 @@
-/** Requests and answers as they are on the wire. */
+/** HTTP requests and answers. */
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import { err, ok } from 'neverthrow';
@@ -6,30 +6,30 @@
 import type { HeaderField } from '../port/index.js';
 import { broken } from './failure.js';
 
-/** A request on the wire. */
+/** An HTTP request. */
 export interface WireRequest {
   readonly method: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body?: Uint8Array;
-  /** Longest silence before the answer's head, milliseconds; absent: unbounded, the signal bounds it. */
+  /** Longest silence before the answer's head, milliseconds; absent: bounded by the signal only. */
   readonly headSilenceMs?: number;
-  /** Longest silence inside the answer's body. */
+  /** Longest silence inside the answer's body, milliseconds; absent: bounded by the signal only. */
   readonly bodySilenceMs?: number;
 }
 
-/** An answer on the wire. Its body can be read once. */
+/** An HTTP answer. Its body can be read once. */
 export interface WireAnswer {
   readonly status: number;
   readonly headers: readonly HeaderField[];
   readonly body: AsyncIterable<Uint8Array>;
-  /** Whether the message has a length of its own, so that its end is told apart from a cut. */
-  readonly framed: boolean;
-  /** Gives the answer up and destroys its connection. */
+  /** Whether the message has a length or chunked encoding, so that its end differs from a lost connection. */
+  readonly isFramed: boolean;
+  /** Discards the answer and destroys its connection. */
   abandon(): void;
 }
 
-/** Headers as undici has them. */
+/** Headers in the form of undici. */
 export type RawHeaders = Readonly<Record<string, string | string[] | undefined>>;
 
 /** Headers as a list. */
@@ -41,7 +41,7 @@
   });
 }
 
-/** Without a length, a body ends when the connection closes, and a cut looks just the same. */
+/** Whether a body has a length. Otherwise it ends when the connection closes, also when that was lost. */
 export function isFramed(method: string, status: number, headers: RawHeaders): boolean {
   if (method === 'HEAD' || status === 204 || status === 304) return true;
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
@@ -52,7 +52,7 @@
   return headers.find((header) => header.name === name)?.value;
 }
 
-/** Reads a whole body of at most `limit` bytes. */
+/** Reads a complete body of at most `limit` bytes. */
 export async function readWhole(answer: WireAnswer, limit: number): Promise<Result<Uint8Array, Fault>> {
   const parts: Uint8Array[] = [];
   let size = 0;
--- a/packages/engine/src/wire/connections.spec.ts
+++ b/packages/engine/src/wire/connections.spec.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo } from 'node:net';
 import { Client, buildConnector } from 'undici';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
-import { tellResets } from './connections.js';
+import { failOnReset } from './connections.js';
 
 describe('a connection that was reset', () => {
   const server = createServer((socket) => {
@@ -20,7 +20,7 @@
     await new Promise((resolve) => server.close(resolve));
   });
 
-  /** Reads an answer without a length; `isReset`: the system knows no other end any more when it ends. */
+  /** Reads an answer without a length; `isReset`: the socket has no remote address any more when it ends. */
   async function read(isReset: boolean): Promise<string> {
     const open = buildConnector({});
     const client = new Client(`http://127.0.0.1:${(server.address() as AddressInfo).port}`, {
@@ -29,7 +29,7 @@
           const [, socket] = opened;
           if (socket !== null && isReset)
             Object.defineProperty(socket, 'remoteAddress', { value: undefined });
-          if (socket !== null) tellResets(socket);
+          if (socket !== null) failOnReset(socket);
           callback(...opened);
         });
       },
@@ -42,10 +42,9 @@
     }
   }
 
-  it('breaks an answer without a length off, also when its error was taken before', async () => {
-    // Symptom: a caller gets half an answer that looks whole.
-    // Sequence: a target crashes inside an answer without a length; its reset reads as an end.
-    // Cause: only the error told a reset from an end, and it is told once.
+  it('breaks an answer without a length, also when another listener has consumed its error', async () => {
+    // Guards against half an answer that looks complete: a target crashes inside an answer without a length, and its reset
+    // appears as an end, as the error that distinguishes the two is emitted only once.
     expect(await read(false)).toBe('half');
     await expect(read(true)).rejects.toThrow('reset');
   });
--- a/packages/engine/src/wire/connections.ts
+++ b/packages/engine/src/wire/connections.ts
@@ -3,21 +3,21 @@
 import { Pool, buildConnector } from 'undici';
 import type { Dispatcher } from 'undici';
 
-/** Idle connections are closed before a common server does it, so that a request rarely meets a closing one. */
-const KEEP_ALIVE_MS = 3_000;
+/** Idle time after which a connection is closed: earlier than common servers do it, so that few requests meet a closing one. */
+const KEEP_ALIVE_TIMEOUT_MS = 3_000;
 const CONNECT_TIMEOUT_MS = 1_000;
 
-/** Code that a reset gets in place of Node's own. */
+/** Error code of a reset, in place of ECONNRESET. */
 const RESET_CODE = 'CONNECTION_RESET';
 
 /**
- * Makes a reset count as an error. An answer without a length ends with its connection, and undici takes a reset, told by
- * its code, for such an end: half of an answer would be passed on as whole, with a length that fits. Under another code
- * the reset breaks the answer off, as it does one with a length. A reset whose error somebody else has taken reads as an
- * end; then the system knows no other end of the connection any more, and nobody is told of that end. Call it before
- * undici adds its own listeners.
+ * Makes a connection reset an error. An answer without a length ends with its connection, and undici treats an error with the
+ * code of a reset as such an end: half of an answer would be forwarded as complete, with a matching length. With another code
+ * the reset breaks the answer, as it does one with a length. If another listener has consumed the error, the reset appears as
+ * an end, and the socket has no remote address any more; such an end event is suppressed. Call this before undici adds its own
+ * listeners.
  */
-export function tellResets(socket: Socket): void {
+export function failOnReset(socket: Socket): void {
   socket.on('error', (error: NodeJS.ErrnoException) => {
     if (error.code === 'ECONNRESET') error.code = RESET_CODE;
   });
@@ -29,46 +29,45 @@
   };
 }
 
-/** Opens connections that tell resets from ends. */
-function resetTellingConnector(): buildConnector.connector {
+/** Opens connections on which a reset is an error. */
+function resetAwareConnector(): buildConnector.connector {
   const open = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
   return (options, callback) => {
     open(options, (...opened) => {
       const [problem, socket] = opened;
-      if (problem === null) tellResets(socket);
+      if (problem === null) failOnReset(socket);
       callback(...opened);
     });
   };
 }
 
 /**
- * Two pools: one keeps connections for reuse, one opens a connection for each request. A kept connection may
- * be closed by the target just as a request leaves; whether the request was read is then not known. So
- * requests that must not run twice take a fresh one.
+ * Two pools: one reuses connections, one opens a connection for each request. The target may close a reused connection just
+ * as a request is sent; whether it has read the request is then unknown. So requests that must not run twice use a new one.
  */
 export class Connections {
-  private readonly kept: Pool;
+  private readonly reusable: Pool;
   private readonly fresh: Pool;
 
-  /** @param most connections that may be open at once in each pool; further requests wait. Absent: any number. */
+  /** @param maxConnections connections that may be open at once in each pool; further requests wait. Absent: any number. */
   constructor(
     readonly origin: string,
-    most?: number,
+    maxConnections?: number,
   ) {
-    const connect = resetTellingConnector();
-    const bounds = { headersTimeout: 0, bodyTimeout: 0, connect, connections: most };
-    const keepAlive = { keepAliveTimeout: KEEP_ALIVE_MS, keepAliveMaxTimeout: KEEP_ALIVE_MS };
-    this.kept = new Pool(origin, { ...bounds, ...keepAlive, pipelining: 1 });
+    const connect = resetAwareConnector();
+    const bounds = { headersTimeout: 0, bodyTimeout: 0, connect, connections: maxConnections };
+    const keepAlive = { keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS, keepAliveMaxTimeout: KEEP_ALIVE_TIMEOUT_MS };
+    this.reusable = new Pool(origin, { ...bounds, ...keepAlive, pipelining: 1 });
     this.fresh = new Pool(origin, { ...bounds, pipelining: 0 });
   }
 
-  /** The pool for a request. */
+  /** Pool for a request; `fresh`: with a new connection for each. */
   pool(fresh = false): Dispatcher {
-    return fresh ? this.fresh : this.kept;
+    return fresh ? this.fresh : this.reusable;
   }
 
-  /** Cuts all connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
-    await Promise.all([this.kept.destroy(), this.fresh.destroy()]);
+    await Promise.all([this.reusable.destroy(), this.fresh.destroy()]);
   }
 }
--- a/packages/engine/src/wire/exchange.spec.ts
+++ b/packages/engine/src/wire/exchange.spec.ts
@@ -70,7 +70,7 @@
   };
 }
 
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
 async function textOf(answer: EngineAnswer): Promise<string> {
   const parts: Uint8Array[] = [];
@@ -78,7 +78,7 @@
   return Buffer.concat(parts).toString();
 }
 
-async function breakOf(answer: EngineAnswer): Promise<FaultError> {
+async function faultErrorOf(answer: EngineAnswer): Promise<FaultError> {
   const error: unknown = await textOf(answer).catch((caught: unknown) => caught);
   expect(error).toBeInstanceOf(FaultError);
   return error as FaultError;
@@ -94,7 +94,7 @@
 }
 
 describe('an answer over HTTP', () => {
-  it('passes whole events on, counts them and reads the usage', async () => {
+  it('forwards complete events, counts them and reads the usage', async () => {
     const { url } = await serve((request, response) => {
       startStream(request, response);
       response.write(': ping\n\nid: 0\ndata: {"a":1}\n\nid: 1\nda');
@@ -102,7 +102,7 @@
       response.write('"prompt_tokens_details":{"cached_tokens":4}}}\n\n: ping\n\ndata: [DONE]\n\n');
       response.end();
     });
-    const answer = (await engineAt(url).send(requestOf('a-1'), never))._unsafeUnwrap();
+    const answer = (await engineAt(url).send(requestOf('a-1'), neverAborted))._unsafeUnwrap();
     const text = await textOf(answer);
     expect(text).not.toContain('ping');
     expect(text.endsWith('data: [DONE]\n\n')).toBe(true);
@@ -111,7 +111,7 @@
     expect(answer.incarnation).toBe('one');
   });
 
-  it('adds priority and cache salt behind the fields of the caller', async () => {
+  it('adds priority and cache salt after the fields of the caller', async () => {
     const bodies: string[] = [];
     const { url } = await serve((request, response, body) => {
       bodies.push(body);
@@ -121,33 +121,33 @@
     });
     const engine = engineAt(url);
     const own = { model: 'm', prompt: 'p', cache_salt: 'customer-b', priority: -99 };
-    await textOf((await engine.send(requestOf('a-1', { model: 'm', prompt: 'p' }), never))._unsafeUnwrap());
-    await textOf((await engine.send(requestOf('a-2', own), never))._unsafeUnwrap());
+    await textOf(
+      (await engine.send(requestOf('a-1', { model: 'm', prompt: 'p' }), neverAborted))._unsafeUnwrap(),
+    );
+    await textOf((await engine.send(requestOf('a-2', own), neverAborted))._unsafeUnwrap());
     const expected = { model: 'm', prompt: 'p', priority: -7, cache_salt: 'customer-a' };
     expect(bodies.map((body): unknown => JSON.parse(body))).toEqual([expected, expected]);
-    // Which of two fields of one name counts is up to the parser.
+    // With two fields of one name, which one counts would depend on the parser.
     expect(bodies.map((body) => body.match(/cache_salt|priority/g)?.length)).toEqual([2, 2]);
   });
 
-  it('does not take a clean end for a whole stream', async () => {
-    // Symptom: a caller got half an answer that looked complete.
-    // Sequence: the engine stops between two events and closes its connection in good order.
-    // Cause: the connection's end was taken for the stream's; only [DONE] is.
+  it('does not take a clean end of the connection for the end of the stream', async () => {
+    // Guards against half an answer that looks complete: the engine stops between two events and closes its connection
+    // cleanly. Only [DONE] ends a stream.
     const { url } = await serve((request, response) => {
       startStream(request, response);
       response.end('id: 0\ndata: {"a":1}\n\n');
     });
-    const answer = (await engineAt(url).send(requestOf('a-1'), never))._unsafeUnwrap();
-    const { fault } = await breakOf(answer);
+    const answer = (await engineAt(url).send(requestOf('a-1'), neverAborted))._unsafeUnwrap();
+    const { fault } = await faultErrorOf(answer);
     expect(fault.kind).toBe('stream-broken');
     expect(fault.ran).toBe('may-have-run');
     expect(answer.events?.()).toBe(1);
   });
 
-  it('gives a silent stream up and never uses its connection again', async () => {
-    // Symptom: a caller waits for good; later, another caller gets the first one's text.
-    // Sequence: the connection carries no byte any more; the exchange is given up; a new request goes out.
-    // Cause: something between the ends lost track of the connection, and it went back to the pool.
+  it('aborts a silent stream and never reuses its connection', async () => {
+    // Guards against a caller that waits for good, and another one that later gets the first one's text: a middlebox drops
+    // the connection, which then carries no byte, and the pool reuses it for a new request.
     let calls = 0;
     const ports: (number | undefined)[] = [];
     const { url } = await serve((request, response) => {
@@ -157,14 +157,14 @@
       if (calls > 1) response.end('data: [DONE]\n\n');
     });
     const engine = engineAt(url, 500);
-    const first = (await engine.send(requestOf('a-1'), never))._unsafeUnwrap();
-    expect((await breakOf(first)).fault.message).toContain('no byte for 500 ms');
-    const second = (await engine.send(requestOf('a-2'), never))._unsafeUnwrap();
+    const first = (await engine.send(requestOf('a-1'), neverAborted))._unsafeUnwrap();
+    expect((await faultErrorOf(first)).fault.message).toContain('no byte for 500 ms');
+    const second = (await engine.send(requestOf('a-2'), neverAborted))._unsafeUnwrap();
     expect(await textOf(second)).toBe('data: [DONE]\n\n');
     expect(new Set(ports).size).toBe(2);
   });
 
-  it('takes heartbeat comments for signs of life', async () => {
+  it('counts heartbeat comments as activity', async () => {
     const { url } = await serve((request, response) => {
       startStream(request, response);
       let pings = 0;
@@ -176,14 +176,13 @@
         response.end();
       }, 100);
     });
-    const answer = (await engineAt(url, 1_000).send(requestOf('a-1'), never))._unsafeUnwrap();
+    const answer = (await engineAt(url, 1_000).send(requestOf('a-1'), neverAborted))._unsafeUnwrap();
     expect(await textOf(answer)).toBe('data: [DONE]\n\n');
   });
 
-  it('notices that a JSON answer is finished and does not come', async () => {
-    // Symptom: a caller waits until its deadline for an answer that the engine has long had ready.
-    // Sequence: the connection of a JSON answer carries nothing any more, and nobody closes it.
-    // Cause: silence is what such a connection has while the engine works, too.
+  it('detects a JSON answer that the engine has finished and that does not arrive', async () => {
+    // Guards against a caller that waits until its deadline for an answer that is long ready: its connection carries nothing
+    // any more, is not closed, and is just as silent while the engine works.
     let asked = '';
     const { url } = await serve((request, response) => {
       if (request.method !== 'GET') return;
@@ -191,58 +190,55 @@
       startStream(request, response);
       setTimeout(() => response.end('data: [DONE]\n\n'), 50);
     });
-    const answer = await engineAt(url, 100).send(requestOf('a-1', { model: 'm', prompt: 'p' }), never);
+    const answer = await engineAt(url, 100).send(requestOf('a-1', { model: 'm', prompt: 'p' }), neverAborted);
     expect(answer._unsafeUnwrapErr()).toMatchObject({ kind: 'stream-broken', ran: 'may-have-run' });
     expect(asked).toMatch(/^\/v1\/streams\/a-1\?from=/);
   });
 
-  it('waits for a slow JSON answer, also of an engine that does not know of its stream', async () => {
+  it('waits for a slow JSON answer, also of an engine without a stream for it', async () => {
     const { url } = await serve((request, response) => {
       response.setHeader('x-request-id', request.headers['x-request-id'] ?? '');
       response.setHeader('content-type', 'application/json');
       if (request.method === 'GET') response.writeHead(404).end('{}');
       else setTimeout(() => response.end('{"ok":true}'), 500);
     });
-    const answer = await engineAt(url, 100).send(requestOf('a-1', { model: 'm', prompt: 'p' }), never);
+    const answer = await engineAt(url, 100).send(requestOf('a-1', { model: 'm', prompt: 'p' }), neverAborted);
     expect(await textOf(answer._unsafeUnwrap())).toBe('{"ok":true}');
   });
 
   it('refuses an answer with the id of another request', async () => {
-    // Symptom: a caller got the answer to somebody else's request.
-    // Sequence: an engine or something before it answers out of step on a kept connection.
-    // Cause: nothing compared the id in the answer with that of the request.
+    // Guards against a caller that gets the answer to another caller's request: an engine or a middlebox before it answers out
+    // of step on a reused connection.
     const { url } = await serve((_request, response) => {
       response.writeHead(200, { 'content-type': 'text/event-stream', 'x-request-id': 'a-0' });
       response.end('data: [DONE]\n\n');
     });
-    const answer = await engineAt(url).send(requestOf('a-1'), never);
+    const answer = await engineAt(url).send(requestOf('a-1'), neverAborted);
     expect(answer._unsafeUnwrapErr().kind).toBe('answer-mismatch');
   });
 
-  it('says not run only when no byte left', async () => {
-    // Symptom: a request that had run was reported as not run, and ran again.
-    // Sequence: once the port is closed; once the connection is reset after the request was read.
-    // Cause: both were answered alike; only the first is proved.
+  it('reports a request as not run only when no byte was sent', async () => {
+    // Guards against a request that has run, is reported as not run and runs again: a closed port proves that it has not run,
+    // a reset after the request was read does not.
     let seen = 0;
     const { url, server } = await serve((request) => {
       seen++;
       request.socket.resetAndDestroy();
     });
     const plain = plainAt(url);
-    const reset = (await plain.send(requestOf('a-1'), never))._unsafeUnwrapErr();
+    const reset = (await plain.send(requestOf('a-1'), neverAborted))._unsafeUnwrapErr();
     expect(reset.ran).toBe('may-have-run');
     expect(seen).toBe(1);
     await new Promise((resolve) => server.close(resolve));
-    const refused = (await plain.send(requestOf('a-2'), never))._unsafeUnwrapErr();
+    const refused = (await plain.send(requestOf('a-2'), neverAborted))._unsafeUnwrapErr();
     expect(refused.kind).toBe('target-unreachable');
     expect(refused.ran).toBe('not-run');
     expect(seen).toBe(1);
   });
 
-  it('stops a second sending by the library below', async () => {
-    // Symptom: one request had two executions, and nothing above had tried twice.
-    // Sequence: the HTTP library takes up a request again whose connection broke.
-    // Cause: its own idea of what may be repeated.
+  it('stops a retry by the HTTP library', async () => {
+    // Guards against one request that is executed twice without a retry by this system: the HTTP library sends a request
+    // again whose connection broke.
     const aborted: string[] = [];
     const controller = (name: string) =>
       ({ abort: () => aborted.push(name) }) as unknown as Dispatcher.DispatchController;
@@ -255,15 +251,14 @@
       },
     } as unknown as Dispatcher;
     const wire = { method: 'POST', path: '/', headers: {} };
-    const answer = await exchange(pool, wire, systemClock, never);
+    const answer = await exchange(pool, wire, systemClock, neverAborted);
     expect(aborted).toEqual(['second']);
     expect(answer._unsafeUnwrapErr().ran).toBe('may-have-run');
   });
 
-  it('sends what must not run twice on a connection that was never used', async () => {
-    // Symptom: a call that may not be repeated ends in "may have run" on an idle system.
-    // Sequence: the service closes a kept connection at the moment at which the call is written to it.
-    // Cause: whether a closing connection still read the call cannot be known; a fresh one is not closing.
+  it('sends a request that must not run twice on a new connection', async () => {
+    // Guards against a call that must not be repeated and ends as "may have run" on an idle system: the service closes a reused
+    // connection just as the call is written to it, and whether it has read the call is unknown.
     const ports: (number | undefined)[] = [];
     const { url } = await serve((request, response) => {
       ports.push(request.socket.remotePort);
@@ -271,16 +266,15 @@
     });
     const plain = plainAt(url);
     for (const attemptId of ['a-1', 'a-2', 'a-3']) {
-      const answer = await plain.send({ ...requestOf(attemptId), idempotent: false }, never);
+      const answer = await plain.send({ ...requestOf(attemptId), idempotent: false }, neverAborted);
       expect(await textOf(answer._unsafeUnwrap())).toBe('ok');
     }
     expect(new Set(ports).size).toBe(3);
   });
 
   it('pauses the target when the reader is slow', async () => {
-    // Symptom: the process beside the target grows until it is killed.
-    // Sequence: a reader stops reading while the target goes on writing megabytes.
-    // Cause: chunks were queued without a bound.
+    // Guards against a process beside the target that grows until it is killed: a reader stops reading while the target goes on
+    // writing megabytes, and chunks are queued without a bound.
     const block = Buffer.alloc(64 * 1024, 'x');
     let written = 0;
     const { url } = await serve((_request, response) => {
@@ -296,7 +290,7 @@
       };
       write();
     });
-    const answer = (await plainAt(url).send(requestOf('a-1'), never))._unsafeUnwrap();
+    const answer = (await plainAt(url).send(requestOf('a-1'), neverAborted))._unsafeUnwrap();
     const iterator = answer.body[Symbol.asyncIterator]();
     const first = await iterator.next();
     let size = first.done === true ? 0 : first.value.length;
@@ -312,18 +306,17 @@
     expect(size).toBe(400 * block.length);
   });
 
-  it('does not vouch for an answer without a length', async () => {
-    // Symptom: a cut answer of a plain service was passed on as a whole one.
-    // Sequence: the service sends no length and its connection is closed, by itself or by somebody else.
-    // Cause: without a length the end cannot be told from a cut.
+  it('does not report an answer without a length as complete', async () => {
+    // Guards against a truncated answer of a plain service that is forwarded as complete: the service sends no length, and its
+    // end looks the same as a lost connection.
     const { url } = await serve((request) => {
       request.socket.end('HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf');
     });
-    const answer = (await plainAt(url).send(requestOf('a-1'), never))._unsafeUnwrap();
-    expect((await breakOf(answer)).fault.kind).toBe('stream-broken');
+    const answer = (await plainAt(url).send(requestOf('a-1'), neverAborted))._unsafeUnwrap();
+    expect((await faultErrorOf(answer)).fault.kind).toBe('stream-broken');
   });
 
-  it('reads 404 and 503 of an engine as a refusal before it ran', async () => {
+  it('treats 404 and 503 of an engine as a refusal before it ran', async () => {
     const { url } = await serve((request, response, body) => {
       response.setHeader('x-request-id', request.headers['x-request-id'] ?? '');
       response.statusCode = Number(/"prompt":"(\d+)"/.exec(body)?.[1]);
@@ -332,7 +325,7 @@
     const engine = engineAt(url);
     const faultFor = async (status: number) =>
       (
-        await engine.send(requestOf(`a-${status}`, { model: 'm', prompt: String(status) }), never)
+        await engine.send(requestOf(`a-${status}`, { model: 'm', prompt: String(status) }), neverAborted)
       )._unsafeUnwrapErr();
     expect(await faultFor(404)).toMatchObject({ kind: 'model-not-loaded', ran: 'not-run' });
     expect(await faultFor(503)).toMatchObject({ kind: 'overloaded', ran: 'not-run' });
--- a/packages/engine/src/wire/exchange.ts
+++ b/packages/engine/src/wire/exchange.ts
@@ -1,4 +1,4 @@
-/** One request and its answer over undici, with backpressure, a bound on silence and no hidden resend. */
+/** One HTTP request and its answer over undici, with backpressure, silence timeouts and without hidden retries. */
 import { fault } from '@jasmineroute/core';
 import type { Clock, Fault, Stall, StallWatch } from '@jasmineroute/core';
 import { err, ok } from 'neverthrow';
@@ -8,16 +8,16 @@
 import type { RawHeaders, WireAnswer, WireRequest } from './answer.js';
 import { FaultError, broken } from './failure.js';
 
-/** Bytes that wait for the reader before the target is paused, and below which it goes on. */
-const HIGH_WATER = 64 * 1024;
-const LOW_WATER = 16 * 1024;
+/** Buffered bytes above which the target is paused, and below which it is resumed. */
+const HIGH_WATER_BYTES = 64 * 1024;
+const LOW_WATER_BYTES = 16 * 1024;
 
-/** Keeps a request unwritten, and its connection open, while the process has not read all that came in a stall. */
-class HeldBackError extends Error {}
+/** Keeps a request from being written, and its connection open, until all events that arrived during a stall are read. */
+class DeferredError extends Error {}
 
 /**
- * The state of one exchange. It is the handler that undici calls, and the body that the caller reads.
- * Aborting destroys the connection: an answer that comes late can then never be taken for the next one's.
+ * State of one exchange: the handler for undici, and the body for the caller. Aborting destroys the connection, so that a
+ * late answer can't be taken for that of the next request.
  */
 class Exchange
   implements Dispatcher.DispatchHandler, AsyncIterable<Uint8Array>, AsyncIterator<Uint8Array, undefined>
@@ -27,15 +27,15 @@
   private queued = 0;
   private ended = false;
   private failed?: Error;
-  private wake?: () => void;
-  private lastByte: number;
+  private wakeReader?: () => void;
+  private lastByteAt: number;
   private stopTimer?: () => void;
-  private headSeen = false;
+  private hasHead = false;
   private sent = false;
-  /** The last stall after which it was looked whether the request is still wanted. */
-  private seenStall: Stall | undefined;
+  /** The last stall after which the request was checked for an abort. */
+  private checkedStall: Stall | undefined;
   readonly head: Promise<Result<WireAnswer, Fault>>;
-  private settleHead: (result: Result<WireAnswer, Fault>) => void = () => undefined;
+  private resolveHead: (result: Result<WireAnswer, Fault>) => void = () => undefined;
 
   constructor(
     private readonly request: WireRequest,
@@ -44,16 +44,16 @@
     private readonly dispatch: (handler: Exchange) => void,
     private readonly stalls: StallWatch | undefined,
   ) {
-    this.lastByte = clock.monotonic();
-    this.seenStall = stalls?.current();
+    this.lastByteAt = clock.monotonic();
+    this.checkedStall = stalls?.current();
     this.head = new Promise((resolve) => {
-      this.settleHead = resolve;
+      this.resolveHead = resolve;
     });
     signal.addEventListener('abort', this.onAbort, { once: true });
     if (request.headSilenceMs !== undefined) this.watchSilence(request.headSilenceMs);
   }
 
-  /** Gives the request to the pool. Whatever fails before its first byte leaves it unsent. */
+  /** Dispatches the request to the pool. After a failure before its first byte it counts as unsent. */
   start(): void {
     try {
       this.dispatch(this);
@@ -69,30 +69,31 @@
     }
     // undici must never send a request a second time on its own: a run could then happen twice unnoticed.
     if (this.sent) {
-      controller.abort(new Error('a second sending was stopped'));
+      controller.abort(new Error('stopped a second send of the request'));
       return;
     }
-    // What is thrown leaves the request unwritten and its connection open; an abort would close that.
-    if (this.isUnsure()) throw new HeldBackError('not all is read that came in a stall');
+    // Throwing leaves the request unwritten and its connection open; an abort would close the connection.
+    if (this.mayHaveMissedAbort())
+      throw new DeferredError('input that arrived during a stall is still unread');
     this.sent = true;
     this.controller = controller;
   }
 
   onResponseStart(_controller: Dispatcher.DispatchController, status: number, headers: RawHeaders): void {
     if (status < 200) return;
-    this.headSeen = true;
+    this.hasHead = true;
     this.touch();
     this.stopTimer?.();
     this.stopTimer = undefined;
     if (this.request.bodySilenceMs !== undefined) this.watchSilence(this.request.bodySilenceMs);
-    this.settleHead(
+    this.resolveHead(
       ok({
         status,
         headers: fieldsOf(headers),
         body: this,
-        framed: isFramed(this.request.method, status, headers),
+        isFramed: isFramed(this.request.method, status, headers),
         abandon: () => {
-          this.fail(new Error('given up'));
+          this.fail(new Error('answer discarded'));
         },
       }),
     );
@@ -102,23 +103,23 @@
     this.touch();
     this.queue.push(chunk);
     this.queued += chunk.length;
-    if (this.queued > HIGH_WATER) controller.pause();
-    this.wake?.();
+    if (this.queued > HIGH_WATER_BYTES) controller.pause();
+    this.wakeReader?.();
   }
 
   onResponseEnd(): void {
     this.ended = true;
-    this.finish();
+    this.cleanUp();
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
-    if (error instanceof HeldBackError) {
-      void this.startCaughtUp();
+    if (error instanceof DeferredError) {
+      void this.startAfterCatchUp();
       return;
     }
     this.failed ??= error;
-    this.finish();
-    this.settleHead(err(this.headFault(this.failed)));
+    this.cleanUp();
+    this.resolveHead(err(this.headFault(this.failed)));
   }
 
   /** Ends the exchange with an error and destroys its connection. */
@@ -126,40 +127,40 @@
     if (this.ended || this.failed !== undefined) return;
     this.failed = error;
     this.controller?.abort(error);
-    this.finish();
-    this.settleHead(err(this.headFault(error)));
+    this.cleanUp();
+    this.resolveHead(err(this.headFault(error)));
   }
 
   [Symbol.asyncIterator](): AsyncIterator<Uint8Array, undefined> {
     return this;
   }
 
-  /** The next bytes. Written out, and not as a generator: this is the path of every token. */
+  /** The next bytes. Not a generator for speed: every token passes through it. */
   next(): Promise<IteratorResult<Uint8Array, undefined>> {
     const chunk = this.take();
     if (chunk !== undefined) return Promise.resolve({ done: false, value: chunk });
     if (this.failed !== undefined) return Promise.reject(new FaultError(broken(this.failed)));
     if (this.ended) return Promise.resolve({ done: true, value: undefined });
     return new Promise<void>((resolve) => {
-      this.wake = resolve;
+      this.wakeReader = resolve;
     }).then(() => this.next());
   }
 
   return(): Promise<IteratorResult<Uint8Array, undefined>> {
-    this.fail(new Error('the reader stopped'));
+    this.fail(new Error('the reader stopped before the end of the answer'));
     return Promise.resolve({ done: true, value: undefined });
   }
 
-  /** Whether the process stood still since the request was made, and may not have read yet that it is not wanted any more. */
-  private isUnsure(): boolean {
+  /** Whether the process has stalled since the last check, so that it may not have read an abort of the request yet. */
+  private mayHaveMissedAbort(): boolean {
     const stall = this.stalls?.current();
-    const isNew = stall !== undefined && stall !== this.seenStall;
-    this.seenStall = stall;
+    const isNew = stall !== undefined && stall !== this.checkedStall;
+    this.checkedStall = stall;
     return isNew;
   }
 
-  /** Starts again once the signal has had the time to tell that nobody waits for an answer any more. */
-  private async startCaughtUp(): Promise<void> {
+  /** Starts again once an abort that arrived during the stall has had time to raise the signal. */
+  private async startAfterCatchUp(): Promise<void> {
     await this.stalls?.caughtUp();
     if (this.failed === undefined) this.start();
   }
@@ -175,50 +176,50 @@
   }
 
   private resume(): void {
-    if (this.controller?.paused !== true || this.queued > LOW_WATER) return;
-    // The pause was ours, so its silence is not the target's.
+    if (this.controller?.paused !== true || this.queued > LOW_WATER_BYTES) return;
+    // The silence during a pause of this side doesn't count against the target.
     this.touch();
     this.controller.resume();
   }
 
   private touch(): void {
-    this.lastByte = this.clock.monotonic();
+    this.lastByteAt = this.clock.monotonic();
   }
 
   /**
-   * One timer for many bytes: it looks at the time of the last one and goes back to sleep. Prevents an
-   * answer from hanging for good on a connection that something between the ends has lost track of.
+   * One timer for many bytes: when it fires, it checks the time of the last byte and is set again. Keeps an answer from
+   * hanging for good on a connection that a middlebox has dropped.
    */
-  private watchSilence(bound: number): void {
-    const rest = this.lastByte + bound - this.clock.monotonic();
-    if (rest <= 0 && this.controller?.paused !== true) {
-      const message = `no byte for ${bound} ms`;
-      this.fail(new FaultError(fault('stream-broken', message, { ran: this.ranSoFar() })));
+  private watchSilence(limitMs: number): void {
+    const remainingMs = this.lastByteAt + limitMs - this.clock.monotonic();
+    if (remainingMs <= 0 && this.controller?.paused !== true) {
+      const message = `no byte for ${limitMs} ms`;
+      this.fail(new FaultError(fault('stream-broken', message, { ran: this.ranState() })));
       return;
     }
-    this.stopTimer = this.clock.after(rest <= 0 ? bound : rest, () => {
-      this.watchSilence(bound);
+    this.stopTimer = this.clock.after(remainingMs <= 0 ? limitMs : remainingMs, () => {
+      this.watchSilence(limitMs);
     });
   }
 
-  private finish(): void {
+  private cleanUp(): void {
     this.stopTimer?.();
     this.stopTimer = undefined;
     this.signal.removeEventListener('abort', this.onAbort);
-    this.wake?.();
+    this.wakeReader?.();
   }
 
-  private ranSoFar(): 'not-run' | 'may-have-run' {
+  private ranState(): 'not-run' | 'may-have-run' {
     return this.sent ? 'may-have-run' : 'not-run';
   }
 
-  /** Not run is said only of a request that undici never began to write. */
+  /** Fault for the head. Only a request that undici never started to write counts as not run. */
   private headFault(error: Error): Fault {
-    const ran = this.ranSoFar();
+    const ran = this.ranState();
     if (error instanceof FaultError) return { ...error.fault, ran };
-    if (this.signal.aborted) return fault('cancelled', 'given up by the caller', { ran, cause: error });
+    if (this.signal.aborted) return fault('cancelled', 'cancelled by the caller', { ran, cause: error });
     if (!this.sent) return fault('target-unreachable', `no connection: ${error.message}`, { cause: error });
-    const when = this.headSeen ? 'inside the answer' : 'before the answer';
+    const when = this.hasHead ? 'inside the answer' : 'before the answer';
     return fault('target-lost', `connection lost ${when}: ${error.message}`, { cause: error });
   }
 
@@ -229,8 +230,8 @@
 }
 
 /**
- * Sends a request, where `stalls` is given not before all is read that came while the process stood still. The answer's body
- * must be read to its end or abandoned.
+ * Sends a request. With `stalls`, it is not sent before all events that arrived during a stall of the process are read. The
+ * answer's body must be read to its end or abandoned.
  */
 export async function exchange(
   pool: Dispatcher,
@@ -239,7 +240,7 @@
   signal: AbortSignal,
   stalls?: StallWatch,
 ): Promise<Result<WireAnswer, Fault>> {
-  if (signal.aborted) return err(fault('cancelled', 'given up before it was sent'));
+  if (signal.aborted) return err(fault('cancelled', 'cancelled before it was sent'));
   const { method, path, headers, body } = request;
   const options = {
     method,
--- a/packages/engine/src/wire/failure.ts
+++ b/packages/engine/src/wire/failure.ts
@@ -1,20 +1,20 @@
-/** An error that carries a fault, for bodies that break. */
+/** Errors and faults of broken answers. */
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 
-/** Thrown by bodies: async iteration can only throw. */
+/** Carries a fault out of a body: async iteration can only throw. */
 export class FaultError extends Error {
   constructor(readonly fault: Fault) {
     super(fault.message, { cause: fault.cause });
   }
 }
 
-/** The fault inside an error, or the given kind around it. */
+/** The fault that an error carries, or the result of `otherwise`. */
 export function faultOf(error: unknown, otherwise: (cause: unknown) => Fault): Fault {
   return error instanceof FaultError ? error.fault : otherwise(error);
 }
 
-/** A fault for a break in the middle of an answer. */
+/** Fault for an answer that broke in the middle. */
 export function broken(error: unknown): Fault {
   return faultOf(error, (cause) => {
     const message = cause instanceof Error ? cause.message : String(cause);
--- a/packages/engine/src/wire/index.ts
+++ b/packages/engine/src/wire/index.ts
@@ -1,4 +1,4 @@
-/** One HTTP exchange with a target, with the truth about what was sent. */
+/** HTTP exchanges with a target that track whether the request was sent. */
 export * from './answer.js';
 export * from './connections.js';
 export * from './exchange.js';
