--- a/packages/knowledge/src/clusterView.ts
+++ b/packages/knowledge/src/clusterView.ts
@@ -32,8 +32,9 @@
   private readonly lostStores = new Map<string, readonly string[]>();
   /** Control instances whose state a followed instance relays, by the followed instance. */
   private readonly relayedControls = new Map<string, readonly string[]>();
-  /** Keys of parts that stores keep and that targets have in their caches, by the control instance that reports them. */
+  /** Keys of the parts that stores keep, by the control instance that reports them. */
   private readonly kept = new Map<string, Set<number>>();
+  /** Keys of the parts in the caches of targets, by the control instance that reports them. */
   private readonly cached = new Map<string, Set<number>>();
   private readonly changeListeners = new Set<() => void>();
   private readonly eventListeners = new Set<() => void>();
@@ -132,7 +133,7 @@
     this.entryCounts.set(control, event.entries);
     this.lostStores.set(control, event.lostStores);
     if (event.shared.length === 0) this.applyUpdate(control, event, isFirst);
-    for (const shared of readShared(event)) this.applyUpdate(control, shared, shared.whole);
+    for (const update of readShared(event)) this.applyUpdate(control, update, update.whole);
     if (event.vouched && !this.isConfirmed) {
       this.isConfirmed = true;
       this.log.event(knowledgeEvents.confirmed, { control, number: this.current?.number });
--- a/packages/knowledge/src/followTask.ts
+++ b/packages/knowledge/src/followTask.ts
@@ -18,7 +18,7 @@
  */
 const HEDGE_DELAY_MS = 700;
 
-/** Time without a first event after which a stream is aborted, milliseconds. Leaves time for a slow receiver. */
+/** Time without a first event after which a stream is aborted, milliseconds. A slow process reads its first event late. */
 const FIRST_EVENT_TIMEOUT_MS = 1_400;
 
 /**
@@ -81,7 +81,7 @@
 export class FollowTask {
   /** Events arrive, and the instance is in contact with a quorum. */
   isInContact = false;
-  /** In contact with a quorum, or expected to be so soon. */
+  /** In contact with a quorum, so a moment ago, or expected to be so soon. */
   isExpected = false;
   private cancelExpectation = (): void => undefined;
   private readonly stopped = new AbortController();
@@ -167,10 +167,10 @@
   }
 
   /** Records from an event whether the instance is in contact with a quorum. */
-  private updateContact(isUp: boolean, isFirst: boolean): void {
-    if (isUp === this.isInContact && !isFirst) return;
-    this.isInContact = isUp;
-    if (isUp) this.cancelExpectation();
+  private updateContact(isInContact: boolean, isFirst: boolean): void {
+    if (isInContact === this.isInContact && !isFirst) return;
+    this.isInContact = isInContact;
+    if (isInContact) this.cancelExpectation();
     else this.expect(QUORUM_LOSS_GRACE_MS);
     this.isExpected = true;
     this.owner.contactChanged();
--- a/packages/knowledge/src/follower.ts
+++ b/packages/knowledge/src/follower.ts
@@ -53,7 +53,7 @@
   /** Instances in contact with a quorum, in order of preference, as of the last change. */
   private order: readonly string[] = [];
   /** Address of the primary, kept for some time while it may be in contact, and the monotonic time of its choice. */
-  private asked: string | undefined;
+  private primary: string | undefined;
   private primarySince = 0;
   /** Monotonic time at which a first instance gained contact: the others may follow soon, after the election of a leader. */
   private contactSince = 0;
@@ -131,7 +131,7 @@
   /** Gives up the primary once the first instance of the order is in contact: any other choice would soon change again. */
   private releasePrimary(): void {
     const first = this.ranked(this.reportedAddresses()).find((address) => this.isExpected(address));
-    if (first !== undefined && this.isInContact(first)) this.asked = undefined;
+    if (first !== undefined && this.isInContact(first)) this.primary = undefined;
   }
 
   private isExpected(address: string): boolean {
@@ -172,12 +172,12 @@
     const inContact = ranked.filter((address) => this.isInContact(address));
     const now = this.parts.clock.monotonic();
     if (this.order.length === 0) this.contactSince = now;
-    if (!this.keepsPrimary(this.asked, now) && inContact.length > 0) {
-      [this.asked] = inContact;
+    if (!this.keepsPrimary(this.primary, now) && inContact.length > 0) {
+      [this.primary] = inContact;
       this.primarySince = now;
     }
-    this.asked ??= ranked[0];
-    this.order = inContact.sort((a, b) => Number(b === this.asked) - Number(a === this.asked));
+    this.primary ??= ranked[0];
+    this.order = inContact.sort((a, b) => Number(b === this.primary) - Number(a === this.primary));
   }
 
   /** Whether the primary stays so. */
@@ -190,14 +190,14 @@
 
   private isBulkWanted(address: string): boolean {
     const { role, wantsBulk } = this.parts;
-    return (role === 'entry' && address === this.asked) || wantsBulk?.() === true;
+    return (role === 'entry' && address === this.primary) || wantsBulk?.() === true;
   }
 
   /** Stops tasks of instances that need not be followed any more. */
   private stopSurplus(): void {
     const wanted = this.hasEnough() ? this.preferred() : this.known();
     for (const [address, task] of this.tasks) {
-      if (wanted.has(address) || address === this.asked) continue;
+      if (wanted.has(address) || address === this.primary) continue;
       task.stop();
       this.tasks.delete(address);
       this.forgetReported(address);
