--- a/packages/rollout/src/sidecar/cacheReporter.ts
+++ b/packages/rollout/src/sidecar/cacheReporter.ts
@@ -39,14 +39,14 @@
   /** Stream of the report. A control instance at the other end of a new stream needs a full report. */
   readonly stream: ReportStream | undefined;
   /** Position of the last change that was sent. */
-  readonly place: number;
+  readonly position: number;
   readonly at: number;
   readonly fullAt: number;
 }
 
 const NONE_SENT: SentReport = {
   stream: undefined,
-  place: 0,
+  position: 0,
   at: Number.NEGATIVE_INFINITY,
   fullAt: Number.NEGATIVE_INFINITY,
 };
@@ -70,7 +70,7 @@
 export class CacheReporter {
   private readonly stopped = new AbortController();
   private readonly kept = new KeptParts();
-  private last: CacheNews | undefined;
+  private lastNews: CacheNews | undefined;
   private isAnswering = true;
   private sent = NONE_SENT;
   private readonly unreadable: ProblemTally;
@@ -97,7 +97,7 @@
   /** Requests cache changes from the target once and reports them. @returns whether it answered. */
   async poll(): Promise<boolean> {
     const { address, port } = this.parts;
-    const since = this.last?.next ?? 0;
+    const since = this.lastNews?.next ?? 0;
     const answer = await port.cacheNews(since, LONG_POLL_MS, LONG_POLL_MS + ANSWER_TIMEOUT_MS).then(
       (news) => ({ news, problem: 'the target has too many open calls' }),
       (problem: unknown) => ({ news: undefined, problem: String(problem) }),
@@ -106,7 +106,7 @@
     if (answer.news === undefined) return false;
     const { unread } = answer.news;
     if (unread !== undefined) this.unreadable.note(address, unread.problem, unread.count);
-    this.last = this.kept.take(address, answer.news, this.last);
+    this.lastNews = this.kept.take(address, answer.news, this.lastNews);
     await this.report();
     return true;
   }
@@ -123,19 +123,19 @@
   /** Sends the changes on the stream of the last report, or a full report on a new stream. */
   private async report(): Promise<void> {
     const { address, clock, sender } = this.parts;
-    const place = this.kept.place();
+    const position = this.kept.place();
     const now = clock.monotonic();
     const { sent } = this;
-    const isUpToDate = sent.stream?.isOpen === true && sent.place === place;
+    const isUpToDate = sent.stream?.isOpen === true && sent.position === position;
     if (isUpToDate && now - sent.at <= REPORT_INTERVAL_MS) return;
     const isFullDue = now - sent.fullAt > FULL_REPORT_INTERVAL_MS;
     const isFull = (stream: ReportStream): boolean => isFullDue || stream !== sent.stream;
     const stream = await sender.send((to) => {
-      const changes = this.kept.since(isFull(to) ? 0 : sent.place);
+      const changes = this.kept.since(isFull(to) ? 0 : sent.position);
       const value = create(controlMessage.TargetCacheSchema, { address, changes });
       return { case: 'cache', value };
     });
     if (stream === undefined) return;
-    this.sent = { stream, place, at: now, fullAt: isFull(stream) ? now : sent.fullAt };
+    this.sent = { stream, position, at: now, fullAt: isFull(stream) ? now : sent.fullAt };
   }
 }
--- a/packages/rollout/src/sidecar/weightsUpdater.ts
+++ b/packages/rollout/src/sidecar/weightsUpdater.ts
@@ -19,7 +19,7 @@
  * Fraction of the time in which superseded weights may serve after which twice as many targets load at once: under load each
  * round takes 2 s and more, and a target with old weights at the end of that time may not serve.
  */
-const HURRY_FRACTION = 0.56;
+const CATCH_UP_FRACTION = 0.56;
 
 /** Lease time of a turn, milliseconds: a process that was killed keeps others from loading for that long. */
 const TURN_TTL_MS = 3_000;
@@ -232,8 +232,8 @@
   private loadingLimit(target: Target, { model }: MissingWeights): number {
     const { knowledge, service, clock, weightsLimitMs } = this.parts;
     const since = knowledge.staleSince(model, target.weights.get(model) ?? 0) ?? clock.monotonic();
-    const hurryFactor = clock.monotonic() - since > weightsLimitMs * HURRY_FRACTION ? 2 : 1;
-    return Math.max(1, Math.round(knowledge.targets.count(service) * LOADING_FRACTION * hurryFactor));
+    const catchUpFactor = clock.monotonic() - since > weightsLimitMs * CATCH_UP_FRACTION ? 2 : 1;
+    return Math.max(1, Math.round(knowledge.targets.count(service) * LOADING_FRACTION * catchUpFactor));
   }
 
   /**
@@ -247,11 +247,11 @@
     const since = knowledge.staleSince(model, own);
     if (since === undefined || clock.monotonic() - since > MAX_YIELD_MS) return false;
     if (this.idleMs() > IDLE_SERVICE_MS) return false;
-    const before = knowledge.targets.ready(service).filter(({ id, weights }) => {
+    const goFirst = knowledge.targets.ready(service).filter(({ id, weights }) => {
       const version = weights.get(model) ?? own;
       return version < own || (version === own && id < target.id);
     });
-    return before.length >= limit;
+    return goFirst.length >= limit;
   }
 
   /** Time for which no target of the service has been loading while this one polled, milliseconds. */
