--- a/packages/control/src/state/controlState.spec.ts
+++ b/packages/control/src/state/controlState.spec.ts
@@ -59,7 +59,7 @@
   .map((value): CommandInit => ({ case: 'take', value }));
 const release = fc.record(turn).map((value): CommandInit => ({ case: 'release', value }));
 
-/** Steps of time; a number, because each starts from the time it finds. */
+/** Steps of the log time; only a length, because each starts from the log time at that moment. */
 const step = fc.integer({ min: 1, max: 3_000 });
 const commands = fc.array(fc.oneof(apply, claim, settle, take, release, step, step), {
   maxLength: 80,
@@ -67,13 +67,12 @@
 });
 
 describe('replicated state', () => {
-  it('is the same after a snapshot as without one, whatever comes before and after', () => {
-    // Symptom: a replica that was caught up by a snapshot answers otherwise than the others.
-    // Sequence: any commands, a snapshot taken and restored between two of them, more commands.
-    // Cause: something that decides an outcome is missing in the snapshot.
+  it('is the same with and without a snapshot, for any commands before and after it', () => {
+    // Guards against a replica that was caught up by a snapshot and gives other outcomes than its peers, because the
+    // snapshot lacks data that decides an outcome.
     fc.assert(
       fc.property(commands, fc.nat(), (list, cutSeed) => {
-        const whole = createState().machine;
+        const reference = createState().machine;
         let copy = createState().machine;
         const cut = list.length === 0 ? 0 : cutSeed % list.length;
         for (const [position, entry] of list.entries()) {
@@ -84,42 +83,40 @@
           }
           const command: CommandInit =
             typeof entry === 'number'
-              ? { case: 'advance', value: { fromMs: BigInt(whole.now()), stepMs: entry } }
+              ? { case: 'advance', value: { fromMs: BigInt(reference.now()), stepMs: entry } }
               : entry;
-          expect(applyBatch(copy, [command])).toEqual(applyBatch(whole, [command]));
+          expect(applyBatch(copy, [command])).toEqual(applyBatch(reference, [command]));
         }
-        expect(copy.now()).toBe(whole.now());
-        expect(copy.expectsTime()).toBe(whole.expectsTime());
-        expect(copy.snapshot().byteLength).toBe(whole.snapshot().byteLength);
+        expect(copy.now()).toBe(reference.now());
+        expect(copy.expectsTime()).toBe(reference.expectsTime());
+        expect(copy.snapshot().byteLength).toBe(reference.snapshot().byteLength);
       }),
       { numRuns: 150 },
     );
   });
 
-  it('forgets at the same moments after a snapshot as without one', () => {
-    // Symptom: of two replicas one still has an answer, the other has forgotten it.
-    // Sequence: an answer expires between two rounds of forgetting; a replica is caught up by a snapshot then.
-    // Cause: the caught-up replica did not know when the last round was, and began one at once.
+  it('expires entries at the same moments with and without a snapshot', () => {
+    // Guards against replicas of which only one still holds an answer. An answer expires between two expiry rounds, and
+    // a replica is caught up by a snapshot at that time: without the time of the last round it ran one at once.
     const request = { ...names, key: 'k', attemptId: 'one', windowMs: 5_000n, fingerprint: Uint8Array.of(1) };
     const done = { ...request, settlement: Settlement.DONE, answer: { status: 200 } };
-    const whole = createState().machine;
+    const reference = createState().machine;
     const copy = createState().machine;
-    advance(whole, 17_000);
-    applyOne(whole, { case: 'claim', value: { request, maxClaims: 9 } });
-    applyOne(whole, { case: 'settle', value: { request: done, maxAnswerBytes: 9_000n, maxClaims: 9 } });
-    advance(whole, 6_000);
-    copy.restore(whole.snapshot());
-    const answers = [whole, copy].map((machine) => {
+    advance(reference, 17_000);
+    applyOne(reference, { case: 'claim', value: { request, maxClaims: 9 } });
+    applyOne(reference, { case: 'settle', value: { request: done, maxAnswerBytes: 9_000n, maxClaims: 9 } });
+    advance(reference, 6_000);
+    copy.restore(reference.snapshot());
+    const answers = [reference, copy].map((machine) => {
       advance(machine, 1_000);
       return applyOne(machine, { case: 'claim', value: { request, maxClaims: 9 } });
     });
     expect(answers[1]).toEqual(answers[0]);
   });
 
-  it('moves time on once though two leaders count the same stretch', () => {
-    // Symptom: leases end at half their time.
-    // Sequence: a leader that was replaced and its successor both propose a step from the same time.
-    // Cause: steps were added up, whatever time they started from.
+  it('advances the time once when two leaders measure the same interval', () => {
+    // Guards against leases that expire after half their duration: a replaced leader and its successor both propose a
+    // step from the same time, and both steps were added.
     const { machine } = createState();
     const value = { fromMs: 0n, stepMs: 1_000 };
     applyBatch(machine, [
@@ -129,39 +126,37 @@
     expect(machine.now()).toBe(1_000);
   });
 
-  it('moves on by one bounded step, whatever a leader counts', () => {
-    // Symptom: after a leader was paused, many leases end at once, though their holders go on.
-    // Sequence: the leader's process stops for minutes and resumes, still the leader.
-    // Cause: the whole pause was added, though renewals could not be heard meanwhile.
+  it('advances by one bounded step, however long an interval a leader measures', () => {
+    // Guards against leases that expire all at once while their holders are alive: the leader's process stops for
+    // minutes and resumes as leader, and the whole pause was added although no renewal could arrive during it.
     const { machine } = createState();
     applyOne(machine, { case: 'advance', value: { fromMs: 0n, stepMs: 600_000 } });
     expect(machine.now()).toBe(MAX_STEP_MS);
   });
 
-  it('stops at an entry of a newer release', () => {
-    // Symptom: after a rolling upgrade one instance shows other documents than the rest.
-    // Sequence: a newer instance puts a command into the log that an older one doesn't know.
-    // Cause: the older one skipped it and went on.
+  it('stops at an entry of a newer release that it cannot decode', () => {
+    // Guards against an instance that shows other documents than its peers after a rolling upgrade: a newer instance
+    // puts a command into the log that an older one doesn't know, and the older one skipped it and continued.
     const { machine, documents } = createState();
-    let told = 0;
-    machine.onBroken(() => (told += 1));
+    let notifications = 0;
+    machine.onBroken(() => (notifications += 1));
     const unknownField = Uint8Array.of(0x0a, 0x03, 0xfa, 0x3f, 0x00);
     expect(machine.apply(1n, unknownField)).toHaveLength(0);
     expect(machine.broken()).toBe(true);
     const value = { service: 'a', keyHash: ALICE, operatorHashes: [ALICE] };
     expect(machine.apply(2n, encodeBatch([{ case: 'apply', value }]))).toHaveLength(0);
     expect(documents.revision()).toBe(0n);
-    expect(told).toBe(1);
+    expect(notifications).toBe(1);
     expect(() => machine.snapshot()).toThrow('newer release');
   });
 
-  it('goes on after a command whose handler throws', () => {
+  it('continues after a command whose handler throws', () => {
     const { machine } = createState();
     const errors: unknown[] = [];
     machine.onError((error) => errors.push(error));
     const value = { fromMs: 0n, stepMs: 10 };
     machine.onTime(() => {
-      throw new Error('a listener of the clock');
+      throw new Error('thrown by a time listener');
     });
     expect(applyOne(machine, { case: 'advance', value })).toBeUndefined();
     expect(errors).toHaveLength(1);
--- a/packages/control/src/state/feature.ts
+++ b/packages/control/src/state/feature.ts
@@ -1,8 +1,8 @@
-/** What a feature of the replicated state looks like, so that new ones plug in beside the others. */
+/** The interface of a feature: one part of the replicated state with the commands that change it. */
 import type { MessageInitShape } from '@bufbuild/protobuf';
 import type { stateMessage } from '@jasmineroute/protocol';
 
-/** Milliseconds of the state's own time: it moves only by commands, never by a clock. */
+/** Log time, milliseconds: it advances only by `advance` commands, never by a clock. */
 export type LogTime = number;
 
 type CommandUnion = stateMessage.Command['command'];
@@ -13,12 +13,12 @@
 /** Message of a command. */
 export type CommandValue<C extends CommandCase> = Extract<CommandUnion, { case: C }>['value'];
 
-/** What a command led to. */
+/** Outcome of a command. */
 export type OutcomeValue = NonNullable<MessageInitShape<typeof stateMessage.OutcomeSchema>['outcome']>;
 
 /**
- * Applies one command. Must be deterministic: the same commands give the same state on every replica, so it
- * reads neither clocks nor random numbers nor anything outside the state.
+ * Applies one command at log time `now`. Must be deterministic, so that the same commands give the same state on
+ * every replica: it reads no clock, no random number and nothing outside the state.
  */
 export type CommandHandler<C extends CommandCase> = (value: CommandValue<C>, now: LogTime) => OutcomeValue;
 
@@ -28,12 +28,12 @@
 /** A part of the replicated state. */
 export interface Feature {
   readonly handlers: CommandHandlers;
-  /** The state's time has moved to `now`. */
+  /** Called when the log time has advanced to `now`. */
   advanced(now: LogTime): void;
-  /** Whether something waits for the state's time to move. */
+  /** Whether anything in this part expires, so that the log time has to advance. */
   expectsTime(): boolean;
-  /** The whole part as bytes. */
+  /** This part, encoded. */
   snapshot(): Uint8Array;
-  /** Replaces the part; `now` is the state's time in the snapshot. */
+  /** Replaces this part; `now` is the log time of the snapshot. */
   restore(data: Uint8Array, now: LogTime): void;
 }
