--- a/packages/control/src/claims/claimService.ts
+++ b/packages/control/src/claims/claimService.ts
@@ -1,4 +1,4 @@
-/** The interface for those who run requests that may not be repeated. */
+/** The service for instances that run non-idempotent requests. */
 import type { ServiceImpl } from '@connectrpc/connect';
 import { fault } from '@jasmineroute/core';
 import type { Clock, Log, Metrics } from '@jasmineroute/core';
@@ -7,25 +7,25 @@
 import type { Proposer } from '../log/index.js';
 import { controlMetrics } from '../metrics.js';
 
-/** What the service works with. */
+/** Dependencies of the service. */
 export interface ClaimServiceParts {
   readonly proposer: Proposer;
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** Claims that may be held at once. */
+  /** Most claims in the table. */
   readonly maxClaims: number;
-  /** Bytes of answers that may be kept. */
+  /** Most bytes of kept answers. */
   readonly maxAnswerBytes: number;
-  /** Where the leader is reached, host:port; empty when that isn't known. */
+  /** Address of the leader, host:port; empty when unknown. */
   readonly leaderAddress: () => string;
 }
 
-/** Claims and settlements, each held by a quorum before it is answered. */
+/** Claims and settlements; each is answered only after a quorum holds it. */
 export class ClaimService implements ServiceImpl<typeof controlMessage.Claims> {
   constructor(private readonly parts: ClaimServiceParts) {}
 
-  /** @throws ConnectError with 'claims-unavailable' when the table is full: nothing was recorded. */
+  /** @throws ConnectError with 'claims-unavailable' when the table is full; nothing was recorded then. */
   async claim(request: controlMessage.ClaimRequest): Promise<controlMessage.ClaimResponse> {
     const { clock, metrics, proposer, maxClaims } = this.parts;
     const start = clock.monotonic();
@@ -48,6 +48,6 @@
 
   private full(): Error {
     this.parts.log.event(controlEvents.claimsFull, { maxClaims: this.parts.maxClaims });
-    return errorOf(fault('claims-unavailable', 'the table of claims is full'));
+    return errorOf(fault('claims-unavailable', 'the claims table is full'));
   }
 }
--- a/packages/control/src/claims/claimState.spec.ts
+++ b/packages/control/src/claims/claimState.spec.ts
@@ -5,7 +5,7 @@
 import { advance, applyOne } from '../fixture/index.js';
 import { createState } from '../role/index.js';
 import type { StateParts } from '../role/index.js';
-import { LEAST_OPEN_MS, RELEASED_MS } from './claimState.js';
+import { MIN_OPEN_CLAIM_MS, RELEASED_RETENTION_MS } from './claimState.js';
 
 const { ClaimState: State, Settlement } = controlMessage;
 const HOUR_MS = 3_600_000;
@@ -45,21 +45,20 @@
     return (applyOne(state.machine, { case: 'settle', value }) as controlMessage.SettleResponse).settled;
   };
 
-  it('gives a key to one attempt and a resend of it the same answer', () => {
-    // Symptom: a valuation note is made twice.
-    // Sequence: the claim's answer is lost, the entry asks again; the caller resends at another entry.
-    // Cause: the resend of the entry was refused, or the one of the caller was granted.
+  it('grants a key to one attempt and answers a resend of its claim the same way', () => {
+    // Guards against a request that runs twice. The answer to a claim is lost and the entry claims again, then the caller
+    // resends the request to another entry: the first must be granted again, the second must not.
     expect(claim('one')?.state).toBe(State.GRANTED);
     expect(claim('one')?.state).toBe(State.GRANTED);
     expect(claim('two')).toMatchObject({ state: State.RUNNING, attemptId: 'one', agent: 'agent of one' });
   });
 
-  it('keeps keys of customers apart', () => {
+  it('grants different keys independently', () => {
     claim('one', { key: 'k' });
     expect(claim('two', { key: 'k2' })?.state).toBe(State.GRANTED);
   });
 
-  it('answers with the first answer once done', () => {
+  it('returns the kept answer once the request is done', () => {
     claim('one');
     expect(settle('one', Settlement.DONE)).toBe(true);
     expect(settle('one', Settlement.DONE)).toBe(true);
@@ -67,7 +66,7 @@
     expect(settle('one', Settlement.RELEASED)).toBe(false);
   });
 
-  it('tells of a key that comes with another request', () => {
+  it('reports a mismatch when a key comes with another request', () => {
     claim('one');
     expect(claim('two', { fingerprint: Uint8Array.of(2) })?.state).toBe(State.MISMATCH);
     settle('one', Settlement.DONE);
@@ -75,9 +74,8 @@
   });
 
   it('lets only the holder settle', () => {
-    // Symptom: a request runs twice after its first attempt was released.
-    // Sequence: attempt one is released and settled again late, while attempt two holds the key.
-    // Cause: the late settlement took effect on the claim of attempt two.
+    // Guards against a request that runs twice after its first attempt was released: a late settlement of attempt one
+    // took effect on the claim of attempt two, which holds the key by then.
     claim('one');
     expect(settle('one', Settlement.RELEASED)).toBe(true);
     expect(claim('two')?.state).toBe(State.GRANTED);
@@ -86,10 +84,9 @@
     expect(claim('three')).toMatchObject({ state: State.RUNNING, attemptId: 'two' });
   });
 
-  it('does not give a key back to an attempt that released it', () => {
-    // Symptom: a key is held for good by nobody.
-    // Sequence: a copy of the claim is still under way when the attempt is released, and arrives afterwards.
-    // Cause: the copy was taken for a new claim.
+  it('does not grant a key again to an attempt that released it', () => {
+    // Guards against a key that stays held for an attempt that has ended: a copy of the claim arrives after the attempt
+    // was released and was treated as a new claim.
     claim('one');
     settle('one', Settlement.RELEASED);
     expect(claim('one')?.state).toBe(State.UNKNOWN);
@@ -97,9 +94,8 @@
   });
 
   it('does not grant a claim that arrives after its release', () => {
-    // Symptom: a key is held for good by nobody.
-    // Sequence: an entry gets no answer to its claim and releases it; the release overtakes the claim.
-    // Cause: the release of a claim that was not there yet left no trace.
+    // Guards against a key that stays held for an attempt that has ended: an entry gets no answer to its claim and
+    // releases it, the release arrives before the claim, and was not recorded.
     expect(settle('one', Settlement.RELEASED)).toBe(true);
     expect(claim('one')?.state).toBe(State.UNKNOWN);
     expect(claim('two')?.state).toBe(State.GRANTED);
@@ -107,7 +103,7 @@
     expect(claim('three')).toMatchObject({ state: State.RUNNING, attemptId: 'two' });
   });
 
-  it('says unknown after an unknown end, until that is cleared up', () => {
+  it('reports a claim settled as unknown until it is settled as done', () => {
     claim('one');
     settle('one', Settlement.UNKNOWN);
     expect(claim('two')).toMatchObject({ state: State.UNKNOWN, attemptId: 'one', agent: 'agent of one' });
@@ -116,15 +112,14 @@
   });
 
   it('never lets another attempt take over a running one', () => {
-    // Symptom: a long request runs twice.
-    // Sequence: the request runs on past the window of its key; its resend comes then.
-    // Cause: the claim was forgotten, or given on, while its attempt had not settled.
+    // Guards against a long request that runs twice: it outlives the window of its key, a resend arrives, and the claim
+    // expired or was granted to the resend although the first attempt had not settled.
     claim('one');
     advance(state.machine, 2 * HOUR_MS);
     expect(claim('two')).toMatchObject({ state: State.RUNNING, attemptId: 'one' });
   });
 
-  it('forgets settled keys after the window, counted from the settlement, and not before', () => {
+  it('expires settled keys when the window has passed since the settlement, and not before', () => {
     claim('one');
     advance(state.machine, HOUR_MS / 2);
     settle('one', Settlement.DONE);
@@ -135,21 +130,20 @@
     expect(state.claims.size()).toBe(1);
   });
 
-  it('forgets what is released or never settled, in the end', () => {
+  it('expires released and unsettled claims in the end', () => {
     claim('one');
     settle('one', Settlement.RELEASED);
-    advance(state.machine, RELEASED_MS + 40_000);
+    advance(state.machine, RELEASED_RETENTION_MS + 40_000);
     expect(state.claims.size()).toBe(0);
     claim('two');
-    advance(state.machine, LEAST_OPEN_MS + 40_000);
+    advance(state.machine, MIN_OPEN_CLAIM_MS + 40_000);
     expect(state.claims.size()).toBe(0);
     expect(state.machine.expectsTime()).toBe(false);
   });
 
-  it('refuses new claims when full and forgets none for them', () => {
-    // Symptom: under a flood of keys an old key runs again.
-    // Sequence: more keys than the table may hold come within one window.
-    // Cause: the oldest claims were dropped to make room.
+  it('refuses new claims when the table is full and evicts none', () => {
+    // Guards against an old key that runs again: more keys than the table may hold arrive within one window, and the
+    // oldest claims were evicted.
     claim('one', { key: 'a', maxClaims: 2 });
     claim('two', { key: 'b', maxClaims: 2 });
     const refused = outcomeOf('three', { key: 'c', maxClaims: 2 });
@@ -157,17 +151,16 @@
     expect(claim('four', { key: 'a', maxClaims: 2 })?.state).toBe(State.RUNNING);
   });
 
-  it('keeps answers within the bound and the keys beyond it', () => {
+  it('keeps answers within the byte limit and still reports keys whose answer was evicted', () => {
     claim('one');
     settle('one', Settlement.DONE, 10n);
     const done = claim('two');
     expect([done?.state, done?.answer]).toEqual([State.DONE, undefined]);
   });
 
-  it('never grants a key again unless it was released, whatever comes', () => {
-    // Symptom: doubled requests.
-    // Sequence: any interleaving of claims, resends and settlements by several attempts.
-    // Cause: a path through the states that frees a key without proof that nothing ran.
+  it('never grants a key again unless it was released, for any order of events', () => {
+    // Guards against requests that run twice: some interleaving of claims, resends and settlements by several attempts
+    // frees a key without proof that the request has not run.
     const attempt = fc.constantFrom('a', 'b', 'c', 'd');
     const step = fc.oneof(
       fc.record({ attempt, settlement: fc.constant(undefined) }),
--- a/packages/control/src/claims/claimState.ts
+++ b/packages/control/src/claims/claimState.ts
@@ -1,4 +1,4 @@
-/** Claims as replicated state: at most one attempt holds a key. */
+/** Claims as replicated state: at most one attempt holds an idempotency key. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import type { MessageInitShape } from '@bufbuild/protobuf';
 import { controlMessage, stateMessage } from '@jasmineroute/protocol';
@@ -9,7 +9,7 @@
 import type { OpenClaim } from './openClaims.js';
 import { EXPIRY_UNIT_MS } from './segment.js';
 import type { SettledClaim } from './segment.js';
-import { SettledTable, unitOf } from './settledTable.js';
+import { SettledTable, expiryUnitOf } from './settledTable.js';
 
 const { ClaimState: State, Settlement } = controlMessage;
 
@@ -17,34 +17,34 @@
 export const MAX_WINDOW_MS = 30 * 24 * 3_600_000;
 
 /**
- * An unsettled claim is kept at least this long, whatever the window: a request that is still running must
- * not be forgotten, or its resend would run beside it.
+ * Least time for which an unsettled claim is held, milliseconds, however short the window: if the claim of a running
+ * request expired, a resend would run the request a second time.
  */
-export const LEAST_OPEN_MS = 24 * 3_600_000;
+export const MIN_OPEN_CLAIM_MS = 24 * 3_600_000;
 
 /**
- * How long a released attempt is remembered. A copy of its claim that was under way while it was released
- * would take the key for an attempt that is over, and nobody would ever settle it.
+ * Time for which a released attempt is remembered, milliseconds. Otherwise a copy of its claim that arrives after the
+ * release would be granted the key for an attempt that has ended, and nobody would settle it.
  */
-export const RELEASED_MS = 120_000;
+export const RELEASED_RETENTION_MS = 120_000;
 
-/** Stands for the fingerprint of a claim that has not arrived. */
+/** Fingerprint of a claim that has not arrived. */
 const NO_FINGERPRINT = new Uint8Array();
 
 type Response = MessageInitShape<typeof controlMessage.ClaimResponseSchema>;
 type Outcome = MessageInitShape<typeof stateMessage.ClaimOutcomeSchema>;
 
-/** A key in the forms that the tables use. */
+/** Hash of a key in the two forms that the tables use. */
 interface ClaimKey {
   readonly text: string;
   readonly words: Uint32Array;
 }
 
-/** Bounds that come with a settlement. */
+/** Limits that a settle command carries. */
 type Limits = Pick<stateMessage.SettleClaim, 'maxAnswerBytes' | 'maxClaims'>;
 
 /** A settlement by the attempt that holds the key. */
-interface OwnSettlement {
+interface HolderSettlement {
   readonly key: ClaimKey;
   readonly open: OpenClaim;
   readonly request: controlMessage.SettleRequest;
@@ -52,15 +52,15 @@
   readonly now: LogTime;
 }
 
-/** Carries out a settlement; whether it took effect. */
-type Settle = (settlement: OwnSettlement) => boolean;
+/** Applies a settlement; returns whether it took effect. */
+type Settle = (settlement: HolderSettlement) => boolean;
 
 /** The claims of all services. */
 export class ClaimState implements Feature {
   private readonly open = new OpenClaims();
   private readonly settled = new SettledTable();
   private readonly answers = new KeptAnswers();
-  private unit = 0;
+  private expiryUnit = 0;
 
   readonly handlers: CommandHandlers = {
     claim: ({ request, maxClaims }, now) => ({ case: 'claim', value: this.claim(request, maxClaims, now) }),
@@ -71,22 +71,22 @@
     },
   };
 
-  /** Claims that are held. */
+  /** Number of open and settled claims. */
   size(): number {
     return this.open.size() + this.settled.size();
   }
 
-  /** Bytes of the table of settled claims and of the kept answers. */
+  /** Bytes of the settled claims and the kept answers. */
   bytes(): number {
     return this.settled.bytes() + this.answers.bytes();
   }
 
   advanced(now: LogTime): void {
-    if (unitOf(now) === this.unit) return;
-    this.unit = unitOf(now);
-    this.open.advanced(now);
-    this.settled.advanced(now);
-    this.answers.advanced(now);
+    if (expiryUnitOf(now) === this.expiryUnit) return;
+    this.expiryUnit = expiryUnitOf(now);
+    this.open.removeExpired(now);
+    this.settled.advanceTo(now);
+    this.answers.removeExpired(now);
   }
 
   expectsTime(): boolean {
@@ -104,7 +104,7 @@
 
   restore(data: Uint8Array, now: LogTime): void {
     const snapshot = fromBinary(stateMessage.ClaimsSnapshotSchema, data);
-    this.unit = unitOf(now);
+    this.expiryUnit = expiryUnitOf(now);
     this.open.restore(snapshot.open);
     this.settled.restore(snapshot.settled, now);
     this.answers.restore(snapshot.answers);
@@ -114,17 +114,17 @@
     if (request === undefined) return { full: true };
     const key = keyOf(request);
     const open = this.open.find(key.text);
-    if (open !== undefined) return { response: answerOpen(open, request) };
+    if (open !== undefined) return { response: responseForOpen(open, request) };
     const settled = this.settled.find(key.words);
-    if (settled !== undefined && !this.isFree(settled, request)) {
-      return { response: this.answerSettled(settled, key, request) };
+    if (settled !== undefined && !this.isAvailable(settled, request)) {
+      return { response: this.responseForSettled(settled, key, request) };
     }
     if (this.size() >= max) return { full: true };
     this.grant(key, request, now);
     return { response: { state: State.GRANTED, attemptId: request.attemptId, agent: request.agent } };
   }
 
-  private isFree(settled: SettledClaim, request: controlMessage.ClaimRequest): boolean {
+  private isAvailable(settled: SettledClaim, request: controlMessage.ClaimRequest): boolean {
     return settled.released && settled.attempt !== hashAttempt(request.attemptId);
   }
 
@@ -132,12 +132,12 @@
     const windowMs = Math.min(Number(request.windowMs), MAX_WINDOW_MS);
     const { attemptId, agent } = request;
     const fingerprint = hashFingerprint(request.fingerprint);
-    const expires = now + Math.max(windowMs, LEAST_OPEN_MS);
+    const expires = now + Math.max(windowMs, MIN_OPEN_CLAIM_MS);
     this.settled.remove(key.words);
     this.open.put(key.text, { attemptId, agent, fingerprint, windowMs, expires, unknown: false });
   }
 
-  private answerSettled(
+  private responseForSettled(
     settled: SettledClaim,
     key: ClaimKey,
     request: controlMessage.ClaimRequest,
@@ -158,15 +158,15 @@
     }
     const isFree = open === undefined && this.settled.find(key.words) === undefined;
     if (isFree && request.settlement === Settlement.RELEASED)
-      return this.releaseEarly(key, request, limits, now);
+      return this.releaseBeforeClaim(key, request, limits, now);
     return this.isSettled(key, request);
   }
 
   /**
-   * An entry that got no answer to its claim releases it, and the claim can still be under way. Granted after
-   * its release, it would hold the key for an attempt that is over.
+   * Records the release of a claim that has not arrived yet. An entry that gets no answer to its claim releases it,
+   * and the claim can arrive later: granted then, it would hold the key for an attempt that has ended.
    */
-  private releaseEarly(
+  private releaseBeforeClaim(
     key: ClaimKey,
     request: controlMessage.SettleRequest,
     limits: Limits,
@@ -174,11 +174,11 @@
   ): boolean {
     if (this.size() >= limits.maxClaims) return false;
     const fingerprint = hashFingerprint(NO_FINGERPRINT);
-    this.close(key, { attemptId: request.attemptId, fingerprint }, true, now + RELEASED_MS);
+    this.close(key, { attemptId: request.attemptId, fingerprint }, true, now + RELEASED_RETENTION_MS);
     return true;
   }
 
-  /** A resend of a settlement that has taken effect is told so. */
+  /** Whether this settlement has already taken effect, so that a resend gets the same answer. */
   private isSettled(key: ClaimKey, request: controlMessage.SettleRequest): boolean {
     const settled = this.settled.find(key.words);
     if (settled?.attempt !== hashAttempt(request.attemptId)) return false;
@@ -188,17 +188,17 @@
   private readonly settlements: Readonly<Record<controlMessage.Settlement, Settle>> = {
     [Settlement.UNSPECIFIED]: () => false,
     [Settlement.RELEASED]: ({ key, open, now }) => {
-      this.close(key, open, true, now + RELEASED_MS);
+      this.close(key, open, true, now + RELEASED_RETENTION_MS);
       return true;
     },
     [Settlement.DONE]: ({ key, open, request: { answer }, limits, now }) => {
       const expires = now + open.windowMs;
       this.close(key, open, false, expires);
-      if (answer !== undefined) this.answers.keep(key.text, answer, expires, Number(limits.maxAnswerBytes));
+      if (answer !== undefined) this.answers.put(key.text, answer, expires, Number(limits.maxAnswerBytes));
       return true;
     },
     [Settlement.UNKNOWN]: ({ key, open, now }) => {
-      const expires = now + Math.max(open.windowMs, LEAST_OPEN_MS);
+      const expires = now + Math.max(open.windowMs, MIN_OPEN_CLAIM_MS);
       this.open.put(key.text, { ...open, unknown: true, expires });
       return true;
     },
@@ -216,7 +216,7 @@
       fingerprint: fingerprintWords(open.fingerprint),
       attempt: hashAttempt(open.attemptId),
       released,
-      expires: Math.ceil(expires / EXPIRY_UNIT_MS) + 1,
+      expiryUnit: Math.ceil(expires / EXPIRY_UNIT_MS) + 1,
     });
   }
 }
@@ -227,7 +227,7 @@
   return { text: hash.toString('hex'), words };
 }
 
-function answerOpen(open: OpenClaim, request: controlMessage.ClaimRequest): Response {
+function responseForOpen(open: OpenClaim, request: controlMessage.ClaimRequest): Response {
   const { attemptId, agent, unknown } = open;
   if (open.fingerprint !== hashFingerprint(request.fingerprint)) return { state: State.MISMATCH };
   if (unknown) return { state: State.UNKNOWN, attemptId, agent };
--- a/packages/control/src/claims/keptAnswers.ts
+++ b/packages/control/src/claims/keptAnswers.ts
@@ -1,4 +1,4 @@
-/** Answers of settled claims, for callers that ask again. */
+/** Answers of settled claims, for callers that resend a request. */
 import { create } from '@bufbuild/protobuf';
 import { stateMessage } from '@jasmineroute/protocol';
 import type { controlMessage } from '@jasmineroute/protocol';
@@ -9,15 +9,15 @@
   readonly expires: LogTime;
 }
 
-/** Bytes that an answer is counted with besides its body. */
+/** Bytes counted for an answer in addition to its body. */
 const OVERHEAD_BYTES = 256;
 
-/** Answers by key hash, oldest first, within a bound of bytes. */
+/** Answers by key hash, oldest first, within a byte limit. */
 export class KeptAnswers {
   private answers = new Map<string, KeptAnswer>();
   private total = 0;
 
-  /** Bytes that count against the bound. */
+  /** Bytes counted against the limit. */
   bytes(): number {
     return this.total;
   }
@@ -26,30 +26,30 @@
     return this.answers.get(key)?.answer;
   }
 
-  /** Keeps an answer; the oldest ones go when all are more than `maxBytes`. */
-  keep(key: string, answer: controlMessage.Answer, expires: LogTime, maxBytes: number): void {
-    this.drop(key);
-    // A decoded body is a window on the whole entry of the log, and would hold all of it.
+  /** Adds an answer and evicts the oldest ones while the total exceeds `maxBytes`. */
+  put(key: string, answer: controlMessage.Answer, expires: LogTime, maxBytes: number): void {
+    this.remove(key);
+    // A decoded body is a view of the buffer of its log entry and would keep the whole entry in memory.
     const body = answer.body.slice();
     this.answers.set(key, { answer: { ...answer, body }, expires });
     this.total += sizeOf(answer);
     for (const oldest of this.answers.keys()) {
       if (this.total <= maxBytes) return;
-      this.drop(oldest);
+      this.remove(oldest);
     }
   }
 
-  drop(key: string): void {
+  remove(key: string): void {
     const kept = this.answers.get(key);
     if (kept === undefined) return;
     this.answers.delete(key);
     this.total -= sizeOf(kept.answer);
   }
 
-  /** Drops what has expired. */
-  advanced(now: LogTime): void {
+  /** Removes expired answers. */
+  removeExpired(now: LogTime): void {
     for (const [key, { expires }] of this.answers) {
-      if (expires <= now) this.drop(key);
+      if (expires <= now) this.remove(key);
     }
   }
 
@@ -65,7 +65,7 @@
     this.total = 0;
     for (const { keyHash, answer, expiresMs } of kept) {
       if (answer === undefined) continue;
-      this.keep(Buffer.from(keyHash).toString('hex'), answer, Number(expiresMs), Number.POSITIVE_INFINITY);
+      this.put(Buffer.from(keyHash).toString('hex'), answer, Number(expiresMs), Number.POSITIVE_INFINITY);
     }
   }
 }
--- a/packages/control/src/claims/openClaims.ts
+++ b/packages/control/src/claims/openClaims.ts
@@ -1,9 +1,9 @@
-/** Claims that are not settled for good: running, or settled as possibly run. */
+/** Open claims: still running, or settled as possibly run. */
 import { create } from '@bufbuild/protobuf';
 import { stateMessage } from '@jasmineroute/protocol';
 import type { LogTime } from '../state/index.js';
 
-/** A claim with all that is needed to ask its agent. */
+/** An open claim, with the agent that can say whether the attempt ran. */
 export interface OpenClaim {
   readonly attemptId: string;
   readonly agent: string;
@@ -35,8 +35,8 @@
     this.claims.delete(key);
   }
 
-  /** Drops what has expired. */
-  advanced(now: LogTime): void {
+  /** Removes expired claims. */
+  removeExpired(now: LogTime): void {
     for (const [key, { expires }] of this.claims) {
       if (expires <= now) this.claims.delete(key);
     }
--- a/packages/control/src/claims/settledTable.ts
+++ b/packages/control/src/claims/settledTable.ts
@@ -1,45 +1,52 @@
 /** Settled claims in bounded memory. */
-import { EXPIRY_UNIT_MS, RECORD_WORDS, Segment, claimOf, expiryOfRecord, recordOf } from './segment.js';
+import {
+  EXPIRY_UNIT_MS,
+  RECORD_WORDS,
+  Segment,
+  decodeRecord,
+  expiryOfRecord,
+  encodeRecord,
+} from './segment.js';
 import type { SettledClaim } from './segment.js';
 import type { LogTime } from '../state/index.js';
 
-/** Segments: each is rebuilt by itself, so that growth never stops the process for long. */
+/** Number of segments: each is rebuilt separately, so that growth never blocks the event loop for long. */
 const SEGMENTS = 256;
 
-/** Unit of expiry that a time falls into. */
-export function unitOf(time: LogTime): number {
+/** Expiry unit that contains a time. */
+export function expiryUnitOf(time: LogTime): number {
   return Math.floor(time / EXPIRY_UNIT_MS);
 }
 
 /**
- * Settled claims by key hash, in typed arrays: an object for each would take several times the memory. How
- * many are live follows from the commands alone, not from the layout, so replicas agree on when it is full.
+ * Settled claims by key hash, in typed arrays: one object per claim would take several times the memory. The number of
+ * live records depends only on the commands, not on the layout, so replicas agree on when the table is full.
  */
 export class SettledTable {
   private segments = Array.from({ length: SEGMENTS }, () => new Segment());
-  /** Live records by unit of expiry, for the count. */
-  private readonly byUnit = new Map<number, number>();
+  /** Number of live records by expiry unit. */
+  private readonly liveByExpiry = new Map<number, number>();
   private live = 0;
   private nowUnit = 0;
 
-  /** Live records. */
+  /** Number of live records. */
   size(): number {
     return this.live;
   }
 
-  /** Bytes of the arrays. */
+  /** Size of the arrays, bytes. */
   bytes(): number {
     return this.segments.reduce((sum, segment) => sum + segment.bytes(), 0);
   }
 
   find(key: Uint32Array): SettledClaim | undefined {
     const record = this.segmentOf(key).find(key, this.nowUnit);
-    return record && claimOf(record);
+    return record && decodeRecord(record);
   }
 
   /** Adds or replaces a record. */
   put(claim: SettledClaim): void {
-    this.putRecord(recordOf(claim));
+    this.putRecord(encodeRecord(claim));
   }
 
   remove(key: Uint32Array): void {
@@ -50,17 +57,17 @@
     segment.remove(key);
   }
 
-  /** The state's time has moved. */
-  advanced(now: LogTime): void {
-    const unit = unitOf(now);
+  /** Expires the records whose time is over at log time `now`. */
+  advanceTo(now: LogTime): void {
+    const unit = expiryUnitOf(now);
     if (unit === this.nowUnit) return;
     this.nowUnit = unit;
-    for (const [expires, count] of this.byUnit) {
+    for (const [expires, count] of this.liveByExpiry) {
       if (expires <= unit) this.count(expires, -count);
     }
   }
 
-  /** All live records, fixed size each. */
+  /** All live records, one after the other; each has a fixed size. */
   snapshot(): Uint8Array {
     const words = new Uint32Array(this.live * RECORD_WORDS);
     let at = 0;
@@ -70,12 +77,12 @@
 
   restore(data: Uint8Array, now: LogTime): void {
     this.segments = Array.from({ length: SEGMENTS }, () => new Segment());
-    this.byUnit.clear();
+    this.liveByExpiry.clear();
     this.live = 0;
-    this.nowUnit = unitOf(now);
+    this.nowUnit = expiryUnitOf(now);
     /*
-     * Copied, because a typed array needs its start on a multiple of its element's size. Not by `slice`: on a
-     * Buffer, as a file gives it, that is a view, and the claims would be read from whatever else its memory holds.
+     * Copied, because the offset of a typed array must be a multiple of its element size. Not with `slice`: on a Buffer,
+     * which a file read returns, that makes a view, and its `buffer` holds other data as well.
      */
     const words = new Uint32Array(new Uint8Array(data).buffer);
     for (let at = 0; at + RECORD_WORDS <= words.length; at += RECORD_WORDS) {
@@ -93,14 +100,14 @@
 
   private segmentOf(key: Uint32Array): Segment {
     const segment = this.segments[(key[0] ?? 0) % SEGMENTS];
-    if (segment === undefined) throw new Error('no segment');
+    if (segment === undefined) throw new Error('no segment for the key');
     return segment;
   }
 
   private count(expires: number, change: number): void {
-    const next = (this.byUnit.get(expires) ?? 0) + change;
+    const next = (this.liveByExpiry.get(expires) ?? 0) + change;
     this.live += change;
-    if (next === 0) this.byUnit.delete(expires);
-    else this.byUnit.set(expires, next);
+    if (next === 0) this.liveByExpiry.delete(expires);
+    else this.liveByExpiry.set(expires, next);
   }
 }
