--- a/packages/control/src/documents/documentCheck.ts
+++ b/packages/control/src/documents/documentCheck.ts
@@ -5,17 +5,17 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 
-/** What the log needs to know of a document besides its text. */
+/** A checked document with the data that its command carries besides the text. */
 export interface CheckedDocument {
   readonly document: Document;
   /** Hashes of the keys that may apply the next version. */
   readonly operatorHashes: string[];
-  /** Hash over what `checkAgainst` compares among services. */
+  /** Hash of the fields that `checkAgainst` compares between services. */
   readonly sharedHash: Uint8Array;
 }
 
-/** Reads and checks a text by itself; every fault in one go. */
-export function checkAlone(service: string, text: string): Result<CheckedDocument, Problem[]> {
+/** Parses a text and checks it without regard to other documents; reports all faults at once. */
+export function checkDocument(service: string, text: string): Result<CheckedDocument, Problem[]> {
   return parseDocument(text).andThen((document) => {
     if (document.service !== service) return err([wrongService(service, document.service)]);
     return ok({
@@ -26,8 +26,8 @@
   });
 }
 
-/** Clashes that a document would bring among those in force, with the lines of its own text. */
-export function checkAmong(
+/** Models, routes and keys of a document that another document in force already has, with the lines of its text. */
+export function findDuplicates(
   document: Document,
   text: string,
   inForce: ReadonlyMap<string, Document>,
@@ -38,8 +38,8 @@
   }));
 }
 
-function wrongService(asked: string, found: string): Problem {
-  return { path: 'service', line: 1, message: `is "${found}", but the change is for "${asked}"` };
+function wrongService(expected: string, actual: string): Problem {
+  return { path: 'service', line: 1, message: `is "${actual}", but the change is for "${expected}"` };
 }
 
 function sharedHashOf(document: Document): Uint8Array {
--- a/packages/control/src/documents/documentRecord.ts
+++ b/packages/control/src/documents/documentRecord.ts
@@ -2,16 +2,16 @@
 import { create } from '@bufbuild/protobuf';
 import { controlMessage, stateMessage } from '@jasmineroute/protocol';
 
-/** Versions whose text is kept, the current one included. */
-export const KEPT_TEXTS = 20;
+/** Most versions of a service whose text is kept, including the current one. */
+export const MAX_STORED_TEXTS = 20;
 
-/** Bytes of texts that are kept of one service besides the current one. */
-export const KEPT_TEXT_BYTES = 1024 * 1024;
+/** Most bytes of older texts that are kept for one service, besides the current text. */
+export const MAX_OLDER_TEXT_BYTES = 1024 * 1024;
 
-/** Versions that are listed in the history. */
-export const KEPT_VERSIONS = 200;
+/** Most versions of a service in the history. */
+export const MAX_VERSIONS = 200;
 
-/** Adds a version and drops what the bounds no longer allow. */
+/** Adds a version and removes older versions and texts beyond the limits. */
 export function withVersion(
   record: stateMessage.DocumentRecord | undefined,
   command: stateMessage.ApplyDocument,
@@ -25,20 +25,20 @@
     acceptedAtMs: command.acceptedAtMs,
     revision: accepted.revision,
   });
-  const older = record?.versions.slice(0, KEPT_VERSIONS - 1) ?? [];
+  const older = record?.versions.slice(0, MAX_VERSIONS - 1) ?? [];
   return create(stateMessage.DocumentRecordSchema, {
     service: command.service,
     operatorHashes: command.operatorHashes,
     sharedHash: command.sharedHash,
-    versions: [newest, ...withinBounds(older)],
+    versions: [newest, ...trimTexts(older)],
   });
 }
 
-function withinBounds(older: readonly controlMessage.DocumentVersion[]): controlMessage.DocumentVersion[] {
+function trimTexts(older: readonly controlMessage.DocumentVersion[]): controlMessage.DocumentVersion[] {
   let bytes = 0;
   return older.map((version, position) => {
     bytes += Buffer.byteLength(version.text);
-    const keep = position < KEPT_TEXTS - 1 && bytes <= KEPT_TEXT_BYTES;
+    const keep = position < MAX_STORED_TEXTS - 1 && bytes <= MAX_OLDER_TEXT_BYTES;
     return keep ? version : { ...version, text: '' };
   });
 }
--- a/packages/control/src/documents/documentService.ts
+++ b/packages/control/src/documents/documentService.ts
@@ -1,4 +1,4 @@
-/** The interface for operators: apply, read, history. */
+/** The service for operators: apply, get, history. */
 import { create } from '@bufbuild/protobuf';
 import type { MessageInitShape } from '@bufbuild/protobuf';
 import type { ServiceImpl } from '@connectrpc/connect';
@@ -12,21 +12,21 @@
 import { controlEvents } from '../events.js';
 import type { Proposer } from '../log/index.js';
 import { controlMetrics } from '../metrics.js';
-import { checkAlone, checkAmong } from './documentCheck.js';
+import { checkDocument, findDuplicates } from './documentCheck.js';
 import type { CheckedDocument } from './documentCheck.js';
-import type { Decided, DocumentState } from './documentState.js';
+import type { FinalOutcome, DocumentState } from './documentState.js';
 import type { DocumentView } from './documentView.js';
 
-/** Checks of one change before it is given up as overload: each one lost against another accepted change. */
+/** Checks of one change before it is rejected as overload: each was outdated by another accepted change. */
 const MAX_CHECKS = 16;
 
-/** How long a replica that is behind may take to catch up with a revision it was told of, milliseconds. */
+/** Longest wait for this replica to apply a revision that the leader reported, milliseconds. */
 const CATCH_UP_MS = 2_000;
 
 type ApplyAnswer = MessageInitShape<typeof controlMessage.ApplyResponseSchema>;
 type Change = stateMessage.ApplyDocument;
 
-/** What the service works with. */
+/** Dependencies of the service. */
 export interface DocumentServiceParts {
   readonly state: DocumentState;
   readonly view: DocumentView;
@@ -36,13 +36,13 @@
   readonly metrics: Metrics;
 }
 
-/** Documents for operators; status comes from elsewhere. */
+/** Documents for operators; `status` is implemented separately. */
 export class DocumentService implements Omit<ServiceImpl<typeof controlMessage.Documents>, 'status'> {
   constructor(private readonly parts: DocumentServiceParts) {}
 
   /**
-   * Checks a document and replaces the version it is based on, if that is still the newest.
-   * @throws ConnectError when it isn't known whether the change was accepted: resend with the same apply id.
+   * Checks a document and replaces the version on which it is based, if that is still the newest.
+   * @throws ConnectError when it is unknown whether the change was accepted: resend it with the same apply id.
    */
   async apply(request: controlMessage.ApplyRequest): Promise<ApplyAnswer> {
     const { clock, metrics } = this.parts;
@@ -54,7 +54,7 @@
     return { outcome: decided.value };
   }
 
-  /** The newest or an older version; with an empty service only the list of services. */
+  /** The newest or an older version of a service, and the list of services; an empty service gives only the list. */
   async get(
     request: controlMessage.GetRequest,
   ): Promise<MessageInitShape<typeof controlMessage.GetResponseSchema>> {
@@ -75,39 +75,41 @@
     return { versions: versions.map((version) => ({ ...version, text: '' })) };
   }
 
-  private async decide(request: controlMessage.ApplyRequest): Promise<Result<Decided, Fault>> {
+  private async decide(request: controlMessage.ApplyRequest): Promise<Result<FinalOutcome, Fault>> {
     if (request.applyId === '') return ok(rejected('invalid-request', 'the apply id is missing'));
-    const alone = checkAlone(request.service, request.text);
-    if (alone.isErr()) return ok(invalid(alone.error));
-    return this.proposeChecked(this.commandOf(request, alone.value), alone.value.document);
+    const checked = checkDocument(request.service, request.text);
+    if (checked.isErr()) return ok(invalid(checked.error));
+    return this.proposeChecked(this.commandOf(request, checked.value), checked.value.document);
   }
 
-  private async proposeChecked(change: Change, document: Document): Promise<Result<Decided, Fault>> {
+  private async proposeChecked(change: Change, document: Document): Promise<Result<FinalOutcome, Fault>> {
     for (let check = 0; check < MAX_CHECKS; check += 1) {
       const checkedRevision = this.parts.state.revision();
-      const clashes = checkAmong(document, change.text, this.parts.view.all());
-      if (clashes.length > 0) return this.answerClashes(change, document);
+      const duplicates = findDuplicates(document, change.text, this.parts.view.all());
+      if (duplicates.length > 0) return this.answerDuplicates(change, document);
       const outcome = await this.parts.proposer.propose('apply', { ...change, checkedRevision });
       if (outcome.isErr()) return err(outcome.error);
       const decided = outcome.value.outcome;
-      if (decided.case === undefined) return err(fault('internal', 'an apply had no outcome'));
+      if (decided.case === undefined) return err(fault('internal', 'the apply command has no outcome'));
       if (decided.case !== 'staleRevision') return ok(decided);
-      await this.reached(decided.value);
+      await this.waitForRevision(decided.value);
     }
-    return ok(rejected('overloaded', 'other services change too fast for a check: try again'));
+    return ok(
+      rejected('overloaded', 'documents of other services change too often to complete a check: try again'),
+    );
   }
 
   /**
-   * The clash may be with a version that is no longer in force, known to this replica only because it is
-   * behind; or the change is a resend, was accepted, and clashes with what came later. So it is told apart on
-   * the state of the quorum before the operator hears of it.
+   * Duplicates are no reason to reject a change yet: this replica may be behind and compare with a version that is no
+   * longer in force, or the change is a resend that was accepted and duplicates later changes. So the check is repeated
+   * on the state that a quorum has confirmed.
    */
-  private async answerClashes(change: Change, document: Document): Promise<Result<Decided, Fault>> {
+  private async answerDuplicates(change: Change, document: Document): Promise<Result<FinalOutcome, Fault>> {
     if (!(await this.catchUp())) return err(fault('no-quorum', 'no quorum of control instances answers'));
     const first = this.parts.state.firstAnswer(change);
     if (first !== undefined) return ok(first);
-    const clashes = checkAmong(document, change.text, this.parts.view.all());
-    if (clashes.length > 0) return ok(invalid(clashes));
+    const duplicates = findDuplicates(document, change.text, this.parts.view.all());
+    if (duplicates.length > 0) return ok(invalid(duplicates));
     return err(fault('overloaded', 'the documents changed during the check: try again'));
   }
 
@@ -125,8 +127,8 @@
     });
   }
 
-  /** Resolves once this replica has applied a revision, or after a bound. */
-  private async reached(revision: bigint): Promise<boolean> {
+  /** Waits until this replica has applied a revision, at most `CATCH_UP_MS`; false on timeout. */
+  private async waitForRevision(revision: bigint): Promise<boolean> {
     const { state, clock } = this.parts;
     if (state.revision() >= revision) return true;
     const abort = new AbortController();
@@ -138,34 +140,34 @@
     return state.revision() >= revision;
   }
 
-  /** Reads after this hold all that was accepted before; false where no quorum could be asked. */
+  /** Waits until this replica has applied all changes accepted before the call; false when it could not in time. */
   private async catchUp(): Promise<boolean> {
     const barrier = await this.parts.proposer.propose('barrier', {});
     if (barrier.isErr()) return false;
-    return this.reached(barrier.value.revision);
+    return this.waitForRevision(barrier.value.revision);
   }
 
-  private report(request: controlMessage.ApplyRequest, decided: Decided): void {
+  private report(request: controlMessage.ApplyRequest, decided: FinalOutcome): void {
     const { log, metrics } = this.parts;
     const { service, operator, applyId } = request;
     const version = decided.case === 'rejected' ? undefined : decided.value.version.toString();
     const kind = decided.case === 'rejected' ? decided.value.kind : undefined;
     metrics.count(controlMetrics.applies, 1, { outcome: decided.case });
-    log.event(reportEvents[decided.case], { service, operator, applyId, version, kind });
+    log.event(OUTCOME_EVENTS[decided.case], { service, operator, applyId, version, kind });
   }
 }
 
-const reportEvents = {
+const OUTCOME_EVENTS = {
   accepted: controlEvents.documentAccepted,
   conflict: controlEvents.documentConflict,
   rejected: controlEvents.documentRefused,
 } as const;
 
-function invalid(problems: readonly Problem[]): Decided {
+function invalid(problems: readonly Problem[]): FinalOutcome {
   return rejected('invalid-document', `${problems.length} faults in the document`, problems);
 }
 
-function rejected(kind: string, message: string, problems: readonly Problem[] = []): Decided {
+function rejected(kind: string, message: string, problems: readonly Problem[] = []): FinalOutcome {
   const value = create(controlMessage.RejectedSchema, { kind, message, problems: [...problems] });
   return { case: 'rejected', value };
 }
--- a/packages/control/src/documents/documentState.spec.ts
+++ b/packages/control/src/documents/documentState.spec.ts
@@ -8,13 +8,13 @@
 import type { CommandFields } from '../log/index.js';
 import { createState } from '../role/index.js';
 import type { StateParts } from '../role/index.js';
-import { KEPT_APPLY_IDS } from './appliedIds.js';
-import { KEPT_TEXTS, KEPT_TEXT_BYTES, KEPT_VERSIONS } from './documentRecord.js';
+import { MAX_APPLY_IDS } from './appliedIds.js';
+import { MAX_STORED_TEXTS, MAX_OLDER_TEXT_BYTES, MAX_VERSIONS } from './documentRecord.js';
 import { DocumentView } from './documentView.js';
 
 const ALICE = hashKey('alice');
 
-describe('documents as replicated state', () => {
+describe('document state', () => {
   let state: StateParts;
   let count: number;
 
@@ -41,9 +41,8 @@
   };
 
   it('lets exactly one of two operators replace a version', () => {
-    // Symptom: an operator's accepted change is gone, overwritten by a colleague's.
-    // Sequence: both read version 1, both apply on it.
-    // Cause: the second one's base was not compared with the newest version.
+    // Guards against an accepted change that a colleague's overwrites: both operators read version 1 and apply a change
+    // based on it, and the second change's base version was not compared with the newest version.
     apply({});
     expect(apply({ baseVersion: 1n, operator: 'bob' }).case).toBe('accepted');
     expect(apply({ baseVersion: 1n, operator: 'carol' })).toMatchObject({
@@ -53,10 +52,9 @@
     expect(state.documents.versions('pool')[0]).toMatchObject({ version: 2n, operator: 'bob' });
   });
 
-  it('gives a resend the first answer', () => {
-    // Symptom: an operator whose change was accepted is told of a conflict with it.
-    // Sequence: accepted, the answer is lost, the same request comes again, also after further changes.
-    // Cause: the resend was taken for a new change on an old base.
+  it('gives a resend the first outcome', () => {
+    // Guards against an accepted change that is reported as a conflict: its answer is lost, the same request arrives
+    // again, also after further changes, and was treated as a new change with an old base version.
     const change = { baseVersion: 0n, applyId: 'again', text: 'one' };
     const first = apply(change);
     apply({ baseVersion: 1n });
@@ -64,10 +62,9 @@
     expect(state.documents.revision()).toBe(2n);
   });
 
-  it('gives the resend of a conflict the first answer', () => {
-    // Symptom: one wish of an operator is refused and later accepted.
-    // Sequence: a conflict's answer is lost; the same request comes again when its base has come true.
-    // Cause: only acceptances were remembered.
+  it('gives the resend of a conflict the first outcome', () => {
+    // Guards against a change that is refused and later accepted: the answer of a conflict is lost, the same request
+    // arrives again when its base version has become the newest, and only accepted outcomes were remembered.
     const change = { baseVersion: 1n, applyId: 'early', text: 'one' };
     const first = apply(change);
     expect(first.case).toBe('conflict');
@@ -82,21 +79,19 @@
   });
 
   it('lets only operators of the accepted version apply', () => {
-    // Symptom: a stranger takes over a team's document by naming itself its operator.
-    // Sequence: the stranger applies a version that lists the stranger's own key.
-    // Cause: the new text was asked who may apply it, not the accepted one.
+    // Guards against a takeover of a team's document: a caller without its key applies a version that lists the caller's
+    // own key, and the operators of the new version were checked instead of those of the accepted one.
     apply({});
-    const stranger = hashKey('mallory');
-    const taken = apply({ baseVersion: 1n, keyHash: stranger, operatorHashes: [stranger] });
+    const otherKey = hashKey('mallory');
+    const taken = apply({ baseVersion: 1n, keyHash: otherKey, operatorHashes: [otherKey] });
     expect(taken).toMatchObject({ case: 'rejected', value: { kind: 'not-owner' } });
-    const first = apply({ service: 'new', keyHash: stranger, operatorHashes: [ALICE] });
+    const first = apply({ service: 'new', keyHash: otherKey, operatorHashes: [ALICE] });
     expect(first).toMatchObject({ case: 'rejected', value: { kind: 'not-owner' } });
   });
 
-  it('asks for a new check when models or routes changed since', () => {
-    // Symptom: two services offer the same model.
-    // Sequence: both changes are checked while neither is accepted, then both are proposed.
-    // Cause: the check was made on a state that was no longer the current one.
+  it('requires a new check when models or routes changed since the last one', () => {
+    // Guards against two services that offer the same model: both changes are checked while neither is accepted, then
+    // both are proposed, and the second is accepted on an outdated check.
     const first = apply({ service: 'a', checkedRevision: 0n });
     expect(first.case).toBe('accepted');
     expect(apply({ service: 'b', checkedRevision: 0n, applyId: 'b' })).toEqual({
@@ -106,31 +101,30 @@
     expect(apply({ service: 'b', checkedRevision: 1n, applyId: 'b' }).case).toBe('accepted');
   });
 
-  it('does not ask for a new check when nothing that must be unique changed', () => {
+  it('requires no new check when no unique value changed', () => {
     apply({ service: 'a' });
     apply({ service: 'b' });
     expect(apply({ service: 'a', baseVersion: 1n, checkedRevision: 0n }).case).toBe('accepted');
   });
 
   it('keeps a bounded history', () => {
-    for (let version = 0; version < KEPT_VERSIONS + 5; version += 1) apply({ baseVersion: BigInt(version) });
+    for (let version = 0; version < MAX_VERSIONS + 5; version += 1) apply({ baseVersion: BigInt(version) });
     const versions = state.documents.versions('pool');
-    expect(versions).toHaveLength(KEPT_VERSIONS);
-    expect(versions.filter(({ text }) => text !== '')).toHaveLength(KEPT_TEXTS);
-    expect(versions[0]?.version).toBe(BigInt(KEPT_VERSIONS + 5));
+    expect(versions).toHaveLength(MAX_VERSIONS);
+    expect(versions.filter(({ text }) => text !== '')).toHaveLength(MAX_STORED_TEXTS);
+    expect(versions[0]?.version).toBe(BigInt(MAX_VERSIONS + 5));
   });
 
   it('keeps a bounded number of bytes of older texts, and always the newest text', () => {
-    const text = 'x'.repeat(KEPT_TEXT_BYTES / 2);
+    const text = 'x'.repeat(MAX_OLDER_TEXT_BYTES / 2);
     for (let version = 0n; version < 5n; version += 1n) apply({ baseVersion: version, text });
     const kept = state.documents.versions('pool').map((version) => version.text !== '');
     expect(kept).toEqual([true, true, true, false, false]);
   });
 
-  it('keeps a version that can be read in force before one that cannot', () => {
-    // Symptom: in a rolling upgrade, a control instance takes a service for gone and lets another have its model.
-    // Sequence: an operator uses a field of the newer release; an instance of the older one reads it.
-    // Cause: what could not be read was taken for absent.
+  it('keeps the last readable version in force when a newer one cannot be read', () => {
+    // Guards against a model that is given to a second service during a rolling upgrade: an operator uses a field of the
+    // newer release, and an instance of the older one treated the document that it can't read as absent.
     const events: EventKind[] = [];
     const log: Log = { event: (kind) => events.push(kind), with: () => log };
     const view = new DocumentView(state.documents, log);
@@ -145,33 +139,31 @@
   it('keeps a bounded number of apply ids, the newest', () => {
     const change = { applyId: 'first', text: 'first' };
     const first = apply(change);
-    for (let id = 1; id < KEPT_APPLY_IDS; id += 1) apply({ applyId: `x-${id}` });
+    for (let id = 1; id < MAX_APPLY_IDS; id += 1) apply({ applyId: `x-${id}` });
     expect(apply(change)).toEqual(first);
     apply({ applyId: 'one-more' });
     expect(apply(change).case).toBe('conflict');
   });
 
-  it('does not let strangers push out the answers to operators', () => {
-    // Symptom: an operator whose change was accepted is told of a conflict with it.
-    // Sequence: accepted, the answer is lost; a stranger sends many changes; the operator resends.
-    // Cause: the refusals to the stranger took the places of the answers to operators.
+  it('does not let callers without a valid key evict outcomes of operators', () => {
+    // Guards against an accepted change that is reported as a conflict: its answer is lost, a caller without a valid key
+    // sends many changes, the operator resends, and the rejections had evicted the operator's outcome.
     const change = { applyId: 'mine', text: 'mine' };
     const first = apply(change);
     const keyHash = hashKey('mallory');
-    for (let id = 0; id <= KEPT_APPLY_IDS; id += 1) apply({ applyId: `x-${id}`, keyHash });
+    for (let id = 0; id <= MAX_APPLY_IDS; id += 1) apply({ applyId: `x-${id}`, keyHash });
     expect(apply(change)).toEqual(first);
   });
 
-  it('accepts one change for each version, whatever the order and the resends', () => {
-    // Symptom: two operators are both told that their change is version 7.
-    // Sequence: any interleaving of changes on any bases, some sent twice.
-    // Cause: a version number was given out twice, or an accepted change was not the next version.
-    const wish = fc.record({ base: fc.integer({ min: 0, max: 6 }), resend: fc.boolean() });
+  it('accepts one change for each version, for any order and any resends', () => {
+    // Guards against two accepted changes with the same version number, and against gaps between the numbers, for any
+    // interleaving of changes on any base versions, some of them sent twice.
+    const change = fc.record({ base: fc.integer({ min: 0, max: 6 }), resend: fc.boolean() });
     fc.assert(
-      fc.property(fc.array(wish, { maxLength: 60, size: 'max' }), (wishes) => {
+      fc.property(fc.array(change, { maxLength: 60, size: 'max' }), (changes) => {
         state = createState();
         const accepted: bigint[] = [];
-        for (const { base, resend } of wishes) {
+        for (const { base, resend } of changes) {
           const id = { applyId: `id-${count}-${base}`, text: String(count), baseVersion: BigInt(base) };
           const outcome = apply(id);
           if (resend) expect(apply(id)).toEqual(outcome);
--- a/packages/control/src/documents/documentState.ts
+++ b/packages/control/src/documents/documentState.ts
@@ -1,4 +1,4 @@
-/** The documents as replicated state: compare-and-set on versions, first answers, history. */
+/** The documents as replicated state: compare-and-set on versions, deduplication by apply id, history. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import { controlMessage, stateMessage } from '@jasmineroute/protocol';
 import type { CommandHandlers, Feature } from '../state/index.js';
@@ -7,44 +7,44 @@
 
 type Outcome = stateMessage.ApplyOutcome['outcome'];
 
-/** Outcomes that end a change. */
-export type Decided = Exclude<Outcome, { case: 'staleRevision' } | { case: undefined }>;
+/** Outcomes that decide a change; it is not proposed again. */
+export type FinalOutcome = Exclude<Outcome, { case: 'staleRevision' } | { case: undefined }>;
 
-/** What is answered to resends. A refusal is not: strangers could push out the answers to operators. */
-const remembered = new Set<Outcome['case']>(['accepted', 'conflict']);
+/** Outcomes that are remembered for resends. Rejections are not: callers without a valid key could evict operators' outcomes. */
+const REMEMBERED_OUTCOMES = new Set<Outcome['case']>(['accepted', 'conflict']);
 
-/** One guard of a change: an outcome when it stops the change. */
+/** A precondition of a change: returns an outcome when the change must not be accepted. */
 type Guard = (
   command: stateMessage.ApplyDocument,
   record: stateMessage.DocumentRecord | undefined,
 ) => Outcome | undefined;
 
 /**
- * Texts are parsed and checked by the proposer, never while applying: a parser that changes from release to
- * release would give replicas of two releases two states. What a check depends on travels in the command.
+ * The proposer parses and checks texts; the state machine never does, because a parser that differs between releases
+ * would make replicas of two releases diverge. The command carries the data on which the guards depend.
  */
 export class DocumentState implements Feature {
-  private current = 0n;
+  private currentRevision = 0n;
   private sharedRevision = 0n;
   private records = new Map<string, stateMessage.DocumentRecord>();
   private readonly applied = new AppliedIds();
   private readonly listeners = new Set<() => void>();
 
-  /** In the order in which they answer. */
+  /** In order: the first one that returns an outcome decides. */
   private readonly guards: readonly Guard[] = [
-    (command, record) => refuseStranger(command, record),
-    (command, record) => refuseOldBase(command, record),
-    (command, record) => this.askForNewCheck(command, record),
+    (command, record) => rejectNonOwner(command, record),
+    (command, record) => rejectStaleBase(command, record),
+    (command, record) => this.requireRecheck(command, record),
   ];
 
   readonly handlers: CommandHandlers = {
     apply: (command) => ({ case: 'apply', value: this.apply(command) }),
-    barrier: () => ({ case: 'barrier', value: { revision: this.current } }),
+    barrier: () => ({ case: 'barrier', value: { revision: this.currentRevision } }),
   };
 
-  /** Count of all accepted changes. */
+  /** Number of accepted changes of all services. */
   revision(): bigint {
-    return this.current;
+    return this.currentRevision;
   }
 
   services(): string[] {
@@ -56,10 +56,10 @@
     return this.records.get(service)?.versions ?? [];
   }
 
-  /** The first answer to a change that is a resend. */
-  firstAnswer(command: stateMessage.ApplyDocument): Decided | undefined {
+  /** The first outcome of a resent change; undefined when it is not a resend. */
+  firstAnswer(command: stateMessage.ApplyDocument): FinalOutcome | undefined {
     const first = this.applied.find(command);
-    if (!first.known || !first.sameRequest) return undefined;
+    if (!first.known || !first.isSameRequest) return undefined;
     const { outcome } = first.outcome;
     return outcome.case === undefined || outcome.case === 'staleRevision' ? undefined : outcome;
   }
@@ -80,7 +80,7 @@
 
   snapshot(): Uint8Array {
     const snapshot = create(stateMessage.DocumentsSnapshotSchema, {
-      revision: this.current,
+      revision: this.currentRevision,
       sharedRevision: this.sharedRevision,
       records: [...this.records.values()],
       applied: this.applied.snapshot(),
@@ -90,18 +90,18 @@
 
   restore(data: Uint8Array): void {
     const snapshot = fromBinary(stateMessage.DocumentsSnapshotSchema, data);
-    this.current = snapshot.revision;
+    this.currentRevision = snapshot.revision;
     this.sharedRevision = snapshot.sharedRevision;
     this.records = new Map(snapshot.records.map((record) => [record.service, record]));
     this.applied.restore(snapshot.applied);
-    this.announce();
+    this.notifyListeners();
   }
 
   private apply(command: stateMessage.ApplyDocument): stateMessage.ApplyOutcome {
     const first = this.applied.find(command);
-    if (first.known) return first.sameRequest ? first.outcome : outcomeOf(reusedId(command));
+    if (first.known) return first.isSameRequest ? first.outcome : outcomeOf(reusedApplyId(command));
     const outcome = outcomeOf(this.decide(command));
-    if (remembered.has(outcome.outcome.case)) this.applied.remember(command, outcome);
+    if (REMEMBERED_OUTCOMES.has(outcome.outcome.case)) this.applied.remember(command, outcome);
     return outcome;
   }
 
@@ -118,30 +118,30 @@
     command: stateMessage.ApplyDocument,
     record: stateMessage.DocumentRecord | undefined,
   ): controlMessage.Accepted {
-    this.current += 1n;
-    if (changesShared(command, record)) this.sharedRevision = this.current;
+    this.currentRevision += 1n;
+    if (changesShared(command, record)) this.sharedRevision = this.currentRevision;
     const version = versionOf(record) + 1n;
-    const accepted = create(controlMessage.AcceptedSchema, { version, revision: this.current });
+    const accepted = create(controlMessage.AcceptedSchema, { version, revision: this.currentRevision });
     this.records.set(command.service, withVersion(record, command, accepted));
-    this.announce();
+    this.notifyListeners();
     return accepted;
   }
 
   /**
-   * Two operators may add the same model to two services at once, each checked before the other was
-   * accepted; callers would then find either. So a change of what must be unique only counts when nothing
-   * of that sort was accepted after the check; changes of anything else never wait for each other.
+   * Two operators may add the same model to two services at once, each change checked before the other was accepted; a
+   * caller could then reach either service. So a change to values that must be unique needs a check at least as new as the
+   * last accepted change of such values; other changes never wait for each other.
    */
-  private askForNewCheck(
+  private requireRecheck(
     command: stateMessage.ApplyDocument,
     record: stateMessage.DocumentRecord | undefined,
   ): Outcome | undefined {
     if (!changesShared(command, record)) return undefined;
     if (command.checkedRevision >= this.sharedRevision) return undefined;
-    return { case: 'staleRevision', value: this.current };
+    return { case: 'staleRevision', value: this.currentRevision };
   }
 
-  private announce(): void {
+  private notifyListeners(): void {
     for (const listener of this.listeners) listener();
   }
 }
@@ -165,22 +165,22 @@
   return { case: 'rejected', value: create(controlMessage.RejectedSchema, { kind, message }) };
 }
 
-function reusedId(command: stateMessage.ApplyDocument): Outcome {
-  return rejected('key-reused', `apply id "${command.applyId}" was used for another change`);
+function reusedApplyId(command: stateMessage.ApplyDocument): Outcome {
+  return rejected('key-reused', `apply id "${command.applyId}" was already used for another change`);
 }
 
-/** The accepted version says who may replace it; the first one speaks for itself. */
-function refuseStranger(
+/** The accepted version lists who may replace it; the first version lists its own operators. */
+function rejectNonOwner(
   command: stateMessage.ApplyDocument,
   record: stateMessage.DocumentRecord | undefined,
 ): Outcome | undefined {
   const allowed = record?.operatorHashes ?? command.operatorHashes;
   if (allowed.includes(command.keyHash)) return undefined;
-  return rejected('not-owner', `the key is of no operator of the team that owns "${command.service}"`);
+  return rejected('not-owner', `the key belongs to no operator of the team that owns "${command.service}"`);
 }
 
-/** Of several changes to one version exactly one finds it still current; the others learn who was first. */
-function refuseOldBase(
+/** Of several changes based on one version exactly one is accepted; the others get the operator of that one. */
+function rejectStaleBase(
   command: stateMessage.ApplyDocument,
   record: stateMessage.DocumentRecord | undefined,
 ): Outcome | undefined {
--- a/packages/control/src/documents/documentView.ts
+++ b/packages/control/src/documents/documentView.ts
@@ -1,4 +1,4 @@
-/** The accepted documents, parsed when somebody in this process asks for them. */
+/** The accepted documents, parsed on demand. */
 import { parseDocument } from '@jasmineroute/document';
 import type { Document } from '@jasmineroute/document';
 import type { Log } from '@jasmineroute/core';
@@ -8,13 +8,13 @@
 
 interface ParsedVersion {
   readonly version: bigint;
-  /** Absent when no version so far could be read. */
+  /** Undefined when no version so far could be parsed. */
   readonly document?: Document;
 }
 
 /**
- * Parsed documents in force. Parsing a long one holds up the process for some tenths of a second, so an
- * instance parses only what it needs itself: most of what it accepts it only hands on as text.
+ * Parsed documents in force. Parsing a long document blocks the event loop for some tenths of a second, so an instance
+ * parses only the documents that it needs itself and passes most of them on as text.
  */
 export class DocumentView {
   private readonly parsed = new Map<string, ParsedVersion>();
@@ -46,8 +46,8 @@
   }
 
   /**
-   * An accepted text that this release can't read comes from a newer one: the version before stays in force
-   * here, and the event tells that this instance is to be upgraded.
+   * An accepted text that this release can't parse comes from a newer release: the last version that could be parsed
+   * stays in force on this instance, and the event says that the instance must be upgraded.
    */
   private parse({ service, version, text }: controlMessage.DocumentVersion): Document | undefined {
     const parsed = parseDocument(text);
