--- a/packages/control/src/replicas/replicaKeeper.spec.ts
+++ b/packages/control/src/replicas/replicaKeeper.spec.ts
@@ -7,7 +7,7 @@
 import type { StateParts } from '../role/index.js';
 import { ReplicaKeeper } from './replicaKeeper.js';
 
-describe('keeper of the replicas', () => {
+describe('reconciliation of the replicas', () => {
   let clock: ManualClock;
   let state: StateParts;
   let log: LocalLog;
@@ -27,17 +27,16 @@
     applyOne(state.machine, { case: 'apply', value: { ...ids, text, keyHash: key, operatorHashes: [key] } });
   };
 
-  it('asks for nothing without a control document', async () => {
+  it('requests no change without a control document', async () => {
     void keeper.run();
     await clock.advance(5_000);
     keeper.stop();
     expect(log.changes).toHaveLength(0);
   });
 
-  it('asks again until the change is through, also after a change of leader', async () => {
-    // Symptom: a replacement of a control instance stays half done.
-    // Sequence: the leader is lost in the middle of the change; another one takes over.
-    // Cause: the change was started once, by the instance that accepted the document.
+  it('repeats the request until the change is complete, also after a change of leader', async () => {
+    // Guards against a replacement of a control instance that stays incomplete: the leader is lost in the middle of the
+    // change and another one takes over, but the change was requested only once, by the instance that accepted the document.
     accept(['c1=10.0.0.1:1', 'c2=10.0.0.2:1'], 0n);
     log.changeFaults.push(fault('not-leader', 'x'), fault('no-quorum', 'x'));
     void keeper.run();
@@ -51,10 +50,9 @@
     expect(log.changes).toEqual(log.changes.map(() => wanted));
   });
 
-  it('asks for the newest document while an older change is under way', async () => {
-    // Symptom: a corrected address of a new instance has no effect for half a minute.
-    // Sequence: the first document names an address where nobody is; the next one corrects it.
-    // Cause: the keeper waited for the end of the first change.
+  it('requests the change of the newest document while an older change is in progress', async () => {
+    // Guards against a corrected address of a new instance that takes effect only after half a minute: the first document
+    // has an address that nothing listens on, the next one corrects it, and the first change was waited for.
     accept(['c1=10.0.0.1:1', 'c2=10.0.0.9:1'], 0n);
     log.hangChanges = true;
     keeper.look();
--- a/packages/control/src/replicas/replicaKeeper.ts
+++ b/packages/control/src/replicas/replicaKeeper.ts
@@ -1,24 +1,24 @@
-/** Brings the replicas of the log to what the control document says. */
+/** Changes the replicas of the log to those of the control document. */
 import type { Clock, Fault, Log } from '@jasmineroute/core';
 import type { DocumentView } from '../documents/index.js';
 import { controlEvents } from '../events.js';
 import type { CommandLog, ReplicaAddress } from '../log/index.js';
 
-/** Time between two looks, milliseconds. */
-const LOOK_MS = 1_000;
+/** Time between two comparisons with the control document, milliseconds. */
+const RECONCILE_INTERVAL_MS = 1_000;
 
-/** Service of the document that says where control instances are. */
+/** Service whose document lists the control instances. */
 export const CONTROL_SERVICE = 'control';
 
 /**
- * Tells the log which replicas are wanted: on every look rather than once when the document changes, as the
- * leader may be lost in the middle of a change, and on every replica, as any may lead next. One that led
- * before and still wanted an older list would otherwise begin to bring that back.
+ * Requests a change to the replicas of the control document, repeatedly and on every replica: the leader may be lost in
+ * the middle of a change, and any replica may lead next. A former leader that still held an older list would otherwise
+ * restore that list.
  */
 export class ReplicaKeeper {
   private readonly abort = new AbortController();
-  private asked = '';
-  private done = '';
+  private pendingChange = '';
+  private lastApplied = '';
 
   constructor(
     private readonly view: DocumentView,
@@ -32,7 +32,7 @@
     const { signal } = this.abort;
     for (;;) {
       this.look();
-      await this.clock.sleep(LOOK_MS, signal).catch(() => undefined);
+      await this.clock.sleep(RECONCILE_INTERVAL_MS, signal).catch(() => undefined);
       if (signal.aborted) return;
     }
   }
@@ -41,28 +41,28 @@
     this.abort.abort();
   }
 
-  /** Asks for what is wanted, unless that very change is under way. */
+  /** Requests a change to the wanted replicas, unless that change is in progress already. */
   look(): void {
     const wanted = replicasOf(this.view);
     if (wanted === undefined) return;
     const text = wanted.map(({ name, address }) => `${name}=${address}`).join(',');
-    if (this.asked !== text) void this.change(wanted, text);
+    if (this.pendingChange !== text) void this.change(wanted, text);
   }
 
   private async change(wanted: ReplicaAddress[], text: string): Promise<void> {
-    this.asked = text;
+    this.pendingChange = text;
     const changed = await this.log.changeReplicas(wanted);
-    if (this.asked === text) this.asked = '';
+    if (this.pendingChange === text) this.pendingChange = '';
     if (changed.isErr()) {
       if (changed.error.kind !== 'not-leader') this.report(text, changed.error);
       return;
     }
-    if (this.done !== text) this.events.event(controlEvents.replicasChanged, { replicas: text });
-    this.done = text;
+    if (this.lastApplied !== text) this.events.event(controlEvents.replicasChanged, { replicas: text });
+    this.lastApplied = text;
   }
 
   private report(text: string, cause: Fault): void {
-    this.done = '';
+    this.lastApplied = '';
     this.events.event(controlEvents.replicasPending, { replicas: text, cause: cause.message });
   }
 }
