--- a/packages/control/src/configuration/configurationService.spec.ts
+++ b/packages/control/src/configuration/configurationService.spec.ts
@@ -9,26 +9,26 @@
 
 const LIMITS = { inFlight: 1, batch: 8, batchBytes: 10_000, waitingBytes: 100_000, timeoutMs: 1_000 };
 
-describe('what operators do with configurations', () => {
-  // Guards against a read that is refused without a trace, so that a lost quorum can't be told from a late answer.
-  it('logs each read, and why one was not answered', async () => {
-    const told: unknown[] = [];
-    const log: Log = { event: ({ id }, fields) => told.push({ id, ...fields }), with: () => log };
+describe('configuration service', () => {
+  // Guards against a refused read that leaves no log event, so that a lost quorum looks like a late answer.
+  it('logs each read, and the reason when it fails', async () => {
+    const events: unknown[] = [];
+    const log: Log = { event: ({ id }, fields) => events.push({ id, ...fields }), with: () => log };
     const { machine, configuration } = createState();
     const replicas = new LocalLog(machine);
     const proposer = new Proposer(replicas, LIMITS);
     const service = new ConfigurationService(configuration, proposer, new ManualClock(), log);
     expect((await service.read())._unsafeUnwrap()).toBeUndefined();
     const { id: readId } = controlEvents.configurationRead;
-    expect(told.splice(0)).toEqual([{ id: readId, number: 0, tookMs: 0 }]);
+    expect(events.splice(0)).toEqual([{ id: readId, number: 0, tookMs: 0 }]);
     replicas.isolate(true);
     expect((await service.read())._unsafeUnwrapErr().kind).toBe('no-quorum');
-    const { id } = controlEvents.configurationUnread;
-    expect(told).toEqual([{ id, kind: 'no-quorum', message: 'isolated', tookMs: 0 }]);
+    const { id } = controlEvents.configurationReadFailed;
+    expect(events).toEqual([{ id, kind: 'no-quorum', message: 'isolated', tookMs: 0 }]);
   });
 
-  // Guards against resends of a configuration that fill the log with its content while it is slow to be confirmed.
-  it('acknowledges what is held already without another entry of the log, also without a quorum', async () => {
+  // Guards against resends of a configuration that fill the log with copies of it while its confirmation is slow.
+  it('acknowledges a configuration that is already held without a log entry, also without a quorum', async () => {
     const { machine, configuration } = createState();
     const replicas = new LocalLog(machine);
     const proposer = new Proposer(replicas, LIMITS);
--- a/packages/control/src/configuration/configurationService.ts
+++ b/packages/control/src/configuration/configurationService.ts
@@ -1,4 +1,4 @@
-/** What operators do with numbered configurations and weights. */
+/** Operators' calls for numbered configurations and model weights. */
 import type { Configuration } from '@jasmineroute/configuration';
 import type { Clock, Fault, Log } from '@jasmineroute/core';
 import { err, ok } from 'neverthrow';
@@ -7,23 +7,23 @@
 import type { Proposer } from '../log/index.js';
 import type { ConfigurationState } from './configurationState.js';
 
-/** The newest configuration as an operator sent it. */
+/** The newest configuration, as the operator sent it. */
 export interface SentConfiguration {
   readonly number: number;
   readonly source: Uint8Array;
 }
 
-/** What an accepted configuration led to. */
+/** Result of an accepted configuration. */
 export interface ConfigurationOutcome {
-  /** Number held afterwards. */
+  /** Number of the configuration held afterwards. */
   readonly number: number;
-  /** False: a higher or equal number was held already, and nothing changed. */
+  /** False when a higher or equal number was held already; nothing changed then. */
   readonly stored: boolean;
 }
 
 const encoder = new TextEncoder();
 
-/** Numbered configurations over the replicated log. Every answer is one of a quorum. */
+/** Numbered configurations over the replicated log. A quorum has confirmed whatever is answered. */
 export class ConfigurationService {
   constructor(
     private readonly state: ConfigurationState,
@@ -32,12 +32,12 @@
     private readonly log: Log,
   ) {}
 
-  /** Replaces the configuration. Errors: no-quorum, storage-failed, overloaded: send it again. */
+  /** Replaces the configuration. Errors: no-quorum, storage-failed, overloaded; the caller may resend after each. */
   async put(configuration: Configuration, source: Uint8Array): Promise<Result<ConfigurationOutcome, Fault>> {
-    const begunAt = this.clock.monotonic();
+    const startedAt = this.clock.monotonic();
     const known = Number(this.state.held().number);
-    // What is held was confirmed by a quorum, and numbers only rise: a resend needs no place in the log.
-    if (known >= configuration.number) return this.accepted(configuration.number, known, false, begunAt);
+    // A quorum has confirmed the held configuration, and its number only rises: a resend needs no log entry.
+    if (known >= configuration.number) return this.accepted(configuration.number, known, false, startedAt);
     const content = encoder.encode(JSON.stringify(configuration));
     const number = BigInt(configuration.number);
     const outcome = await this.proposer.propose('configure', { number, content, source });
@@ -52,20 +52,23 @@
       return err(outcome.error);
     }
     const { number: held, stored } = outcome.value;
-    return this.accepted(configuration.number, Number(held), stored, begunAt);
+    return this.accepted(configuration.number, Number(held), stored, startedAt);
   }
 
-  /** The newest configuration, as the leader holds it once a quorum has confirmed it; undefined when there is none. Errors: as for `put`. */
+  /**
+   * The newest configuration, read from the leader after a quorum has confirmed its leadership; undefined when there is
+   * none. Errors: as for `put`.
+   */
   async read(): Promise<Result<SentConfiguration | undefined, Fault>> {
-    const begunAt = this.clock.monotonic();
+    const startedAt = this.clock.monotonic();
     const outcome = await this.proposer.query('readConfiguration', {});
-    const tookMs = Math.round(this.clock.monotonic() - begunAt);
+    const tookMs = Math.round(this.clock.monotonic() - startedAt);
     outcome.match(
       ({ number }) => {
         this.log.event(controlEvents.configurationRead, { number: Number(number), tookMs });
       },
       ({ kind, message }) => {
-        this.log.event(controlEvents.configurationUnread, { kind, message, tookMs });
+        this.log.event(controlEvents.configurationReadFailed, { kind, message, tookMs });
       },
     );
     return outcome.map(({ number, source }) =>
@@ -73,7 +76,7 @@
     );
   }
 
-  /** Names new weights of a model. */
+  /** Names a new version of a model's weights; returns the newest named version. */
   async nameWeights(model: string, version: number): Promise<Result<number, Fault>> {
     const outcome = await this.proposer.propose('nameWeights', {
       weights: { model, version: BigInt(version) },
@@ -92,9 +95,9 @@
     number: number,
     held: number,
     stored: boolean,
-    begunAt: number,
+    startedAt: number,
   ): Result<ConfigurationOutcome, Fault> {
-    const tookMs = Math.round(this.clock.monotonic() - begunAt);
+    const tookMs = Math.round(this.clock.monotonic() - startedAt);
     this.log.event(controlEvents.configurationAccepted, { number, held, stored, tookMs });
     return ok({ number: held, stored });
   }
--- a/packages/control/src/configuration/configurationState.spec.ts
+++ b/packages/control/src/configuration/configurationState.spec.ts
@@ -6,7 +6,7 @@
 
 const bytes = (text: string): Uint8Array => Buffer.from(text);
 
-describe('the numbered configuration', () => {
+describe('configuration state', () => {
   let state: StateParts;
 
   beforeEach(() => {
@@ -29,16 +29,15 @@
     return applyOne(state.machine, { case: 'nameWeights', value }) as stateMessage.NameWeightsOutcome;
   };
 
-  it('is read back as it was sent', () => {
+  it('returns the configuration as it was sent', () => {
     expect(configure(3, 'three')).toMatchObject({ number: 3n, stored: true });
     const { number, source } = read();
     expect([number, Buffer.from(source).toString()]).toEqual([3n, 'three']);
   });
 
-  it('never goes back, and keeps what stands under its number', () => {
-    // Symptom: a configuration that operators replaced is in force again, or one number has two contents.
-    // Sequence: an older change arrives late; the same number is sent with other content.
-    // Cause: the last change to arrive was kept, whatever its number.
+  it('never returns to an older configuration, and keeps the content of its number', () => {
+    // Guards against a replaced configuration that is in force again, and against two contents under one number: a late
+    // older change, or the same number with other content, replaced the held configuration because it arrived last.
     configure(7, 'seven');
     expect(configure(5, 'five')).toMatchObject({ number: 7n, stored: false });
     expect(configure(7, 'other')).toMatchObject({ number: 7n, stored: false });
@@ -55,22 +54,21 @@
     ]);
   });
 
-  it('tells ages of versions that were overtaken lately', () => {
-    // Symptom: requests begin on weights that were replaced longer ago than is allowed.
-    // Sequence: two newer versions are named 5 s apart; a target still has the oldest.
-    // Cause: its age was counted from the newest naming.
+  it('reports the ages of recently replaced versions', () => {
+    // Guards against requests that start on weights replaced longer ago than allowed: two newer versions are named 5 s
+    // apart, a target still has the oldest, and its age was counted from the newest version.
     name('m', 2);
     state.configuration.recentWeights(1_000);
     name('m', 3);
-    const told = state.configuration.recentWeights(6_000);
-    expect(told.map(({ version, ageMs }) => [version, ageMs])).toEqual([
+    const reported = state.configuration.recentWeights(6_000);
+    expect(reported.map(({ version, ageMs }) => [version, ageMs])).toEqual([
       [2n, 5_000],
       [3n, 0],
     ]);
     expect(state.configuration.recentWeights(60_000).map(({ version }) => version)).toEqual([3n]);
   });
 
-  it('comes back from a snapshot', () => {
+  it('is restored from a snapshot', () => {
     configure(9, 'nine');
     name('m', 3);
     const other = createState();
--- a/packages/control/src/configuration/configurationState.ts
+++ b/packages/control/src/configuration/configurationState.ts
@@ -1,9 +1,9 @@
-/** The numbered configuration and the named weights as replicated state. */
+/** The numbered configuration and the named versions of weights as replicated state. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import { controlMessage, stateMessage } from '@jasmineroute/protocol';
 import type { CommandHandlers, Feature } from '../state/index.js';
 
-/** The configuration held. Number 0: none yet. */
+/** The configuration held. Number 0 means none yet. */
 export interface HeldConfiguration {
   readonly number: bigint;
   /** The checked configuration as JSON. */
@@ -12,28 +12,36 @@
   readonly source: Uint8Array;
 }
 
-/** A version of weights and when this instance first told of it, monotonic. */
-interface Told {
+/** A version of weights, with the monotonic time at which this instance first reported it to followers, milliseconds. */
+interface ReportedVersion {
   readonly model: string;
   readonly version: bigint;
   readonly at: number;
 }
 
-/** Versions named longer ago are in place or their targets are given up on, milliseconds. */
-const RECENT_MS = 30_000;
+/**
+ * How long a replaced version is still reported, milliseconds. By then a target has loaded a newer one, or its update has
+ * been given up.
+ */
+const RECENT_WEIGHTS_MS = 30_000;
 
-const NONE: HeldConfiguration = { number: 0n, content: new Uint8Array(0), source: new Uint8Array(0) };
+const NO_CONFIGURATION: HeldConfiguration = {
+  number: 0n,
+  content: new Uint8Array(0),
+  source: new Uint8Array(0),
+};
 
 /**
- * The highest number wins. A lower one, which arrives late from a second operator or as a resend, changes
- * nothing, so that what is in force never goes back; so does an equal one, whatever it holds.
+ * The configuration with the highest number is in force. A lower number, which arrives late from a second operator or as
+ * a resend, changes nothing, so that an older configuration never replaces a newer one; nor does an equal number,
+ * whatever its content.
  */
 export class ConfigurationState implements Feature {
-  private current = NONE;
+  private current = NO_CONFIGURATION;
   private readonly versions = new Map<string, bigint>();
-  /** When this instance first told of a version: not replicated, for the ages that followers hear. */
-  private told: Told[] = [];
-  private namings = 0;
+  /** Versions reported to followers, for their ages. Not replicated. */
+  private reported: ReportedVersion[] = [];
+  private namingCount = 0;
   private readonly listeners = new Set<() => void>();
 
   readonly handlers: CommandHandlers = {
@@ -55,19 +63,19 @@
   }
 
   /**
-   * The newest versions, and older ones that were named lately, with their ages at monotonic time `now`: weights count
-   * as replaced from the first newer version on, not from the newest.
+   * The newest versions and older ones that were named recently, with their ages at monotonic time `now`: a version
+   * counts as replaced since the first newer version was named, not since the newest one was.
    */
   recentWeights(now: number): controlMessage.NamedWeights[] {
-    this.noteTold(now);
-    return this.told.map(({ model, version, at }) =>
+    this.updateReported(now);
+    return this.reported.map(({ model, version, at }) =>
       create(controlMessage.NamedWeightsSchema, { model, version, ageMs: Math.round(now - at) }),
     );
   }
 
-  /** Counts how often weights were named, so that followers hear of it at once. */
+  /** A counter of changes to the named weights, so that followers are notified at once. */
   weightsVersion(): number {
-    return this.namings;
+    return this.namingCount;
   }
 
   /** Calls back after each change and each restored snapshot. Returns the way to stop. */
@@ -97,17 +105,17 @@
     this.current = { number, content, source };
     this.versions.clear();
     for (const { model, version } of weights) this.versions.set(model, version);
-    this.namings += 1;
-    this.announce();
+    this.namingCount += 1;
+    this.notifyListeners();
   }
 
-  private noteTold(now: number): void {
+  private updateReported(now: number): void {
     for (const [model, version] of this.versions) {
-      const isKnown = this.told.some((one) => one.model === model && one.version === version);
-      if (!isKnown) this.told.push({ model, version, at: now });
+      const isKnown = this.reported.some((entry) => entry.model === model && entry.version === version);
+      if (!isKnown) this.reported.push({ model, version, at: now });
     }
-    this.told = this.told.filter(
-      ({ model, version, at }) => now - at < RECENT_MS || this.versions.get(model) === version,
+    this.reported = this.reported.filter(
+      ({ model, version, at }) => now - at < RECENT_WEIGHTS_MS || this.versions.get(model) === version,
     );
   }
 
@@ -115,7 +123,7 @@
     const stored = number > this.current.number;
     if (stored) {
       this.current = { number, content, source };
-      this.announce();
+      this.notifyListeners();
     }
     return create(stateMessage.ConfigureOutcomeSchema, { number: this.current.number, stored });
   }
@@ -125,8 +133,8 @@
     const known = this.versions.get(model) ?? 0n;
     if (version > known) {
       this.versions.set(model, version);
-      this.namings += 1;
-      this.announce();
+      this.namingCount += 1;
+      this.notifyListeners();
     }
     return create(stateMessage.NameWeightsOutcomeSchema, { version: version > known ? version : known });
   }
@@ -136,7 +144,7 @@
     return create(stateMessage.ReadConfigurationOutcomeSchema, { number, source });
   }
 
-  private announce(): void {
+  private notifyListeners(): void {
     for (const listener of this.listeners) listener();
   }
 }
--- a/packages/control/src/events.ts
+++ b/packages/control/src/events.ts
@@ -1,4 +1,4 @@
-/** What the control role logs. */
+/** Log events of the control role. */
 import { defineEvents } from '@jasmineroute/core';
 
 export const controlEvents = defineEvents({
@@ -9,23 +9,28 @@
   unreadableDocument: {
     id: 3004,
     level: 'error',
-    message: 'an accepted document is of a newer release: upgrade this instance',
+    message: 'an accepted document needs a newer release: upgrade this instance',
   },
-  claimsFull: { id: 3005, level: 'error', message: 'the table of claims is full: new claims are refused' },
-  replicasChanged: { id: 3006, level: 'info', message: 'the replicas are those of the control document' },
+  claimsFull: { id: 3005, level: 'error', message: 'the claims table is full: new claims are refused' },
+  replicasChanged: { id: 3006, level: 'info', message: 'the replicas match the control document' },
   replicasPending: {
     id: 3007,
     level: 'warn',
-    message: 'the replicas are not yet those of the control document',
+    message: 'the replicas do not match the control document yet',
   },
   draining: { id: 3008, level: 'info', message: 'control is draining' },
   vouched: { id: 3009, level: 'info', message: 'in touch with a quorum' },
-  isolated: { id: 3010, level: 'warn', message: 'out of touch with a quorum: no longer vouched' },
-  timeNotAdvanced: { id: 3011, level: 'debug', message: 'the time of the log could not be moved on' },
+  isolated: {
+    id: 3010,
+    level: 'warn',
+    message: 'out of touch with a quorum: answers may be out of date',
+  },
+  timeNotAdvanced: { id: 3011, level: 'debug', message: 'the log time could not be advanced' },
   newerRelease: {
     id: 3012,
     level: 'error',
-    message: 'the log holds a command of a newer release: upgrade this instance; it serves no longer',
+    message:
+      'the log holds a command of a newer release: this instance is out of service until it is upgraded',
   },
   configurationAccepted: { id: 3014, level: 'info', message: 'configuration acknowledged' },
   configurationUnknown: {
@@ -33,33 +38,41 @@
     level: 'warn',
     message: 'no quorum confirmed the configuration in time: it may or may not be accepted',
   },
-  configurationUnread: {
+  configurationReadFailed: {
     id: 3030,
     level: 'warn',
     message: 'the configuration was not read: no quorum confirmed which is the newest',
   },
   configurationRead: { id: 3031, level: 'info', message: 'the configuration was read back' },
-  weightsNamed: { id: 3016, level: 'info', message: 'weights named' },
+  weightsNamed: { id: 3016, level: 'info', message: 'new version of weights named' },
   targetAnnounced: { id: 3017, level: 'info', message: 'a target changed its state' },
   followed: { id: 3018, level: 'info', message: 'a follower opened its stream' },
-  enlisted: { id: 3019, level: 'info', message: 'an instance asked to vote' },
-  enlisting: { id: 3020, level: 'info', message: 'another answer to the wish to vote' },
+  enlisted: { id: 3019, level: 'info', message: 'an instance requested to become a voter' },
+  enlisting: { id: 3020, level: 'info', message: 'the answer to the request to become a voter changed' },
   enlistUnanswered: {
     id: 3021,
     level: 'info',
-    message: 'a control instance no longer answers the wish to vote',
+    message: 'a control instance no longer answers the request to become a voter',
+  },
+  reportsEnded: { id: 3029, level: 'debug', message: "a process's report stream ended" },
+  storeUnreachable: { id: 3022, level: 'warn', message: 'a cache store does not answer' },
+  storeRecovered: { id: 3023, level: 'info', message: 'a cache store answers again' },
+  unreadableCall: { id: 3024, level: 'warn', message: "a target's call could not be parsed" },
+  unreadableEvents: {
+    id: 3025,
+    level: 'warn',
+    message: "some of a cache store's events could not be parsed",
   },
-  reportsEnded: { id: 3029, level: 'debug', message: "a process's reports ended" },
-  storeLost: { id: 3022, level: 'warn', message: 'a store of kept cache does not answer' },
-  storeFound: { id: 3023, level: 'info', message: 'a store of kept cache answers again' },
-  unreadableCall: { id: 3024, level: 'warn', message: "a call in a target's name can not be read" },
-  unreadableEvents: { id: 3025, level: 'warn', message: "some of a store's events can not be read" },
   storeListed: {
     id: 3026,
     level: 'info',
-    message: 'listed all that a store keeps, as events of it are gone',
+    message: 'listed the whole content of a cache store because events were lost',
+  },
+  withoutDisk: {
+    id: 3028,
+    level: 'warn',
+    message: 'no data folder: this instance runs as a standby without a vote',
   },
-  withoutDisk: { id: 3028, level: 'warn', message: 'no data folder: stands by without a vote' },
-  storeNotListed: { id: 3027, level: 'warn', message: 'a store did not list what it keeps' },
+  storeListFailed: { id: 3027, level: 'warn', message: 'a cache store did not list its content' },
   commandFailed: { id: 3013, level: 'error', message: 'a command could not be applied' },
 });
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -1,4 +1,4 @@
-/** The control role: the instances that hold what operators accepted. */
+/** The control role: instances that hold the replicated configuration, documents and claims. */
 export * from './configuration/index.js';
 export * from './events.js';
 export * from './metrics.js';
--- a/packages/control/src/metrics.ts
+++ b/packages/control/src/metrics.ts
@@ -1,18 +1,30 @@
-/** What the control role measures. */
+/** Metrics of the control role. */
 import { defineMetrics } from '@jasmineroute/core';
 
 export const controlMetrics = defineMetrics({
-  applies: { name: 'control.document.applies', type: 'counter', help: 'Changes of documents, by outcome' },
-  applyTime: { name: 'control.document.duration', type: 'timing', help: 'Time from apply to outcome' },
-  claims: { name: 'control.claim.requests', type: 'counter', help: 'Claims, by state answered' },
-  claimTime: { name: 'control.claim.duration', type: 'timing', help: 'Time of a claim' },
+  applies: { name: 'control.document.applies', type: 'counter', help: 'Document changes, by outcome' },
+  applyTime: {
+    name: 'control.document.duration',
+    type: 'timing',
+    help: 'Time from the apply call to its outcome',
+  },
+  claims: { name: 'control.claim.requests', type: 'counter', help: 'Claim requests, by the state returned' },
+  claimTime: { name: 'control.claim.duration', type: 'timing', help: 'Duration of a claim request' },
   unreadableCalls: {
     name: 'control.target.unreadable',
     type: 'counter',
-    help: 'Calls in the name of targets, and entries of their lists, that could not be read',
+    help: 'Calls of targets, and entries of their lists, that could not be parsed',
   },
   claimsHeld: { name: 'control.claim.held', type: 'gauge', help: 'Claims in the table' },
-  turns: { name: 'control.turn.requests', type: 'counter', help: 'Turns asked for, by whether granted' },
-  revision: { name: 'control.revision', type: 'gauge', help: 'Revision of the documents' },
-  vouched: { name: 'control.vouched', type: 'gauge', help: '1 while in touch with a quorum' },
+  turns: {
+    name: 'control.turn.requests',
+    type: 'counter',
+    help: 'Turn requests, by whether the turn was granted',
+  },
+  revision: { name: 'control.revision', type: 'gauge', help: 'Newest document revision' },
+  vouched: {
+    name: 'control.vouched',
+    type: 'gauge',
+    help: '1 while in touch with a quorum, 0 otherwise',
+  },
 });
--- a/packages/control/src/stores/storeWatch.spec.ts
+++ b/packages/control/src/stores/storeWatch.spec.ts
@@ -12,11 +12,10 @@
 const content = (storeAddress: string | undefined): Uint8Array =>
   Buffer.from(JSON.stringify({ number: 1, routes: [], services: [{ name: 'kept', storeAddress }] }));
 
-describe('the watch of stores', () => {
-  it('finds a store lost and back, and forgets one that is configured no more', async () => {
-    // Symptom: every first token is some hundred ms late.
-    // Sequence: the store of kept cache goes down; requests go on naming it as a source.
-    // Cause: nobody looked whether it answers.
+describe('store monitoring', () => {
+  it('reports a store that stops and resumes answering, and drops one that is no longer configured', async () => {
+    // Guards against first tokens that are all some hundred ms late: a cache store is down, and requests still name it as
+    // a source because it is not monitored.
     const clock = new ManualClock();
     const state = createState();
     let answers = true;
@@ -49,23 +48,22 @@
     expect(state.configuration).toBeInstanceOf(ConfigurationState);
   });
 
-  it('knows what a store keeps, and nothing of it after a gap or a restart', async () => {
-    // Symptom: shared parts are read again and again, though there is a store.
-    // Sequence: a store drops what it kept, as it restarts or its events are lost; parts are taken to be there still.
-    // Cause: what can't be vouched for was believed.
+  it('tracks what a store keeps, and discards it after a gap or a restart', async () => {
+    // Guards against shared parts that are computed again and again despite a store: the store restarts or its events are
+    // lost, and parts that it no longer keeps were still counted as present.
     const clock = new ManualClock();
     const state = createState();
     const part = (id: string, isKept: boolean) => ({ salt: 's', model: 'm', part: id, isKept });
     const none = { incarnation: 1, next: 2, hasGap: false, events: [] };
-    const asked: number[] = [];
+    const calls: number[] = [];
     let next: CacheNews = { ...none, events: [part('a', true), part('b', true)] };
     const port = {
       news: async (_address: string, since: number): Promise<CacheNews> => {
-        asked.push(since);
+        calls.push(since);
         await clock.sleep(100);
-        const told = next;
-        next = { ...none, incarnation: told.incarnation };
-        return told;
+        const answer = next;
+        next = { ...none, incarnation: answer.incarnation };
+        return answer;
       },
       list: () => Promise.reject(new Error('not listed')),
     };
@@ -86,15 +84,13 @@
     next = { ...none, incarnation: 2, events: [part('d', true)] };
     await clock.advance(200);
     expect(keys()).toEqual([]);
-    expect(asked.slice(1)).toContain(0);
+    expect(calls.slice(1)).toContain(0);
     watch.stop();
   });
 
-  it('asks for the whole list once when events are gone', async () => {
-    // Symptom: after a restart of control most shared parts are read again, though the store has them.
-    // Sequence: control starts; the store tells its newest events only; parts that it got before them are taken to be
-    // missing.
-    // Cause: what the remembered events did not tell was taken not to be there.
+  it('lists the whole content once when events are lost', async () => {
+    // Guards against shared parts that are computed again after a restart of control although the store has them: the
+    // store sends only its newest events, and parts of earlier events were treated as missing.
     const clock = new ManualClock();
     const state = createState();
     const part = (id: string) => ({ salt: 's', model: 'm', part: id, isKept: true });
@@ -126,14 +122,14 @@
     watch.stop();
   });
 
-  // Guards against a control instance that reads each configuration of a replayed log, and stands still meanwhile.
-  it('reads the first and the last of the configurations that come in one turn', async () => {
+  // Guards against a control instance that parses each configuration of a replayed log and blocks its event loop meanwhile.
+  it('parses only the first and the last of the configurations applied in one turn of the event loop', async () => {
     const clock = new ManualClock();
     const state = createState();
-    const asked: string[] = [];
+    const calls: string[] = [];
     const port = {
       news: (address: string) => {
-        asked.push(address);
+        calls.push(address);
         return clock.sleep(50).then(() => ({ incarnation: 1, next: 0, hasGap: false, events: [] }));
       },
       list: () => Promise.reject(new Error('not listed')),
@@ -149,7 +145,7 @@
       applyOne(state.machine, { case: 'configure', value });
     }
     await clock.advance(10);
-    expect(asked).toEqual(['10.0.0.1:80', '10.0.0.5:80']);
+    expect(calls).toEqual(['10.0.0.1:80', '10.0.0.5:80']);
     watch.stop();
   });
 });
