--- a/packages/control/src/weights/remoteWeights.ts
+++ b/packages/control/src/weights/remoteWeights.ts
@@ -1,4 +1,4 @@
-/** A control instance in the place of processes that are to stand beside targets. */
+/** Weight updates of targets that have no agent process beside them, done by a control instance. */
 import { create } from '@bufbuild/protobuf';
 import type { TurnSource } from '@jasmineroute/agent';
 import { runLasting } from '@jasmineroute/core';
@@ -11,10 +11,10 @@
 import type { CommandLog, Proposer } from '../log/index.js';
 import type { RecentBoard } from '../recent/index.js';
 
-/** Higher than any configuration's number: its content is not needed here, and would be held a second time. */
-const NO_CONTENT = BigInt(Number.MAX_SAFE_INTEGER);
+/** Above any configuration number, so that the stream omits the configuration, which would be held a second time. */
+const NEWEST_NUMBER = BigInt(Number.MAX_SAFE_INTEGER);
 
-/** What it works with. */
+/** Dependencies of `RemoteWeights`. */
 export interface RemoteWeightsParts {
   readonly name: string;
   readonly incarnation: bigint;
@@ -27,7 +27,10 @@
   readonly log: Log;
 }
 
-/** Follows its own instance as a process beside a target would, and acts while that instance leads the log. */
+/**
+ * Follows its own control instance as an agent does, and updates the weights of unattended targets while that instance
+ * leads the log.
+ */
 export class RemoteWeights {
   private readonly stopped = new AbortController();
   private readonly knowledge: Knowledge;
@@ -41,7 +44,7 @@
       name,
       incarnation,
       knowledge: this.knowledge,
-      turns: turnsOf(proposer),
+      turns: localTurns(proposer),
       observer: { tell: (observation) => this.observe(observation) },
       isReported: (id, withinMs) => loads.isRecent(id, withinMs),
       acts: () => commandLog.status().state === 'leader' && commandLog.status().vouched,
@@ -51,7 +54,7 @@
   }
 
   start(): void {
-    runLasting('knowledge of targets', this.hear());
+    runLasting('knowledge of targets', this.followUpdates());
     runLasting('unattended targets', this.unattended.run());
   }
 
@@ -60,10 +63,14 @@
     this.unattended.stop();
   }
 
-  private async hear(): Promise<void> {
+  private async followUpdates(): Promise<void> {
     const { name, follow } = this.parts;
     const { signal } = this.stopped;
-    const request = create(controlMessage.FollowRequestSchema, { name, role: 'agent', number: NO_CONTENT });
+    const request = create(controlMessage.FollowRequestSchema, {
+      name,
+      role: 'agent',
+      number: NEWEST_NUMBER,
+    });
     let isFirst = true;
     for await (const event of follow.follow(request, { signal })) {
       this.knowledge.apply(name, event, isFirst);
@@ -79,8 +86,8 @@
   }
 }
 
-/** Turns straight from the log that this instance leads. */
-function turnsOf(proposer: Proposer): TurnSource {
+/** Turns proposed directly to the log that this instance leads. */
+function localTurns(proposer: Proposer): TurnSource {
   return {
     take: (request) => proposer.propose('take', create(controlMessage.TakeRequestSchema, request)),
     release: async (request) => {
