--- a/packages/control/src/recent/gathering.ts
+++ b/packages/control/src/recent/gathering.ts
@@ -1,23 +1,23 @@
-/** One event for all that changes within a time. */
+/** Coalesces several changes into one callback. */
 import type { Clock } from '@jasmineroute/core';
 
-/** Calls back once, a time after the first of several changes. */
+/** Calls back once for all changes within a delay after the first one. */
 export class Gathering {
-  private isGathering = false;
+  private isScheduled = false;
 
-  /** @param ms how long it waits from the first change on, milliseconds. */
+  /** @param ms the delay after the first change, milliseconds. */
   constructor(
     private readonly clock: Clock,
     private readonly ms: () => number,
     private readonly callback: () => void,
   ) {}
 
-  /** Something changed. */
+  /** Records a change. */
   readonly note = (): void => {
-    if (this.isGathering) return;
-    this.isGathering = true;
+    if (this.isScheduled) return;
+    this.isScheduled = true;
     this.clock.after(this.ms(), () => {
-      this.isGathering = false;
+      this.isScheduled = false;
       this.callback();
     });
   };
--- a/packages/control/src/recent/recentBoard.ts
+++ b/packages/control/src/recent/recentBoard.ts
@@ -1,71 +1,78 @@
-/** What is told some times a second, and is old after a second: loads of targets, work of entries. */
+/** Reports that arrive several times a second and are outdated after a second: loads of targets, work of entries. */
 import type { Clock } from '@jasmineroute/core';
 
-/** Keys that are remembered; the oldest are forgotten. */
-const MOST_KEYS = 10_000;
+/** Most keys that are held; the one with the oldest report is evicted. */
+const MAX_KEYS = 10_000;
 
-interface Entry<Told> {
-  readonly told: Told;
-  readonly place: number;
-  readonly isOwn: boolean;
-  readonly at: number;
+interface Entry<Report> {
+  readonly report: Report;
+  readonly sequence: number;
+  readonly isDirect: boolean;
+  readonly receivedAt: number;
 }
 
-/** The last that was told under each key. Nothing of it must last. */
-export class RecentBoard<Told> {
-  private readonly entries = new Map<string, Entry<Told>>();
+/** The last report under each key. Held in memory only. */
+export class RecentBoard<Report> {
+  private readonly entries = new Map<string, Entry<Report>>();
   private readonly listeners = new Set<() => void>();
-  private lastPlace = 0;
+  private lastSequence = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Place of the newest. */
+  /** Sequence number of the newest report. */
   place(): number {
-    return this.lastPlace;
+    return this.lastSequence;
   }
 
-  /** What was told after a place, to this instance and to others. */
-  since(place: number): Told[] {
-    return this.after(place).map(({ told }) => told);
+  /** Reports after a sequence number, both direct ones and those passed on by other instances. */
+  since(sequence: number): Report[] {
+    return this.after(sequence).map(({ report }) => report);
   }
 
-  /** What was told after a place to this instance. */
-  ownSince(place: number): Told[] {
-    return this.after(place)
-      .filter(({ isOwn }) => isOwn)
-      .map(({ told }) => told);
+  /** Reports after a sequence number that were sent directly to this instance. */
+  ownSince(sequence: number): Report[] {
+    return this.after(sequence)
+      .filter(({ isDirect }) => isDirect)
+      .map(({ report }) => report);
   }
 
-  /** What was told within the last `ms` milliseconds. */
-  within(ms: number): Told[] {
+  /** Reports of the last `ms` milliseconds. */
+  within(ms: number): Report[] {
     const since = this.clock.monotonic() - ms;
-    return [...this.entries.values()].filter(({ at }) => at > since).map(({ told }) => told);
+    return [...this.entries.values()]
+      .filter(({ receivedAt }) => receivedAt > since)
+      .map(({ report }) => report);
   }
 
-  /** Whether something was told under a key within the last `ms` milliseconds. */
+  /** Whether a report arrived under a key within the last `ms` milliseconds. */
   isRecent(key: string, ms: number): boolean {
     const entry = this.entries.get(key);
-    return entry !== undefined && this.clock.monotonic() - entry.at < ms;
+    return entry !== undefined && this.clock.monotonic() - entry.receivedAt < ms;
   }
 
-  /** Takes what was told; `isOwn`: to this instance, and not to another one that passes it on. */
-  take(key: string, told: Told, isOwn = true): void {
-    this.lastPlace += 1;
+  /** Records a report; `isDirect`: it was sent to this instance, not passed on by another one. */
+  take(key: string, report: Report, isDirect = true): void {
+    this.lastSequence += 1;
     this.entries.delete(key);
-    this.entries.set(key, { told, place: this.lastPlace, isOwn, at: this.clock.monotonic() });
+    this.entries.set(key, {
+      report,
+      sequence: this.lastSequence,
+      isDirect,
+      receivedAt: this.clock.monotonic(),
+    });
     const [oldest] = this.entries.keys();
-    if (this.entries.size > MOST_KEYS && oldest !== undefined) this.entries.delete(oldest);
+    if (this.entries.size > MAX_KEYS && oldest !== undefined) this.entries.delete(oldest);
     for (const listener of this.listeners) listener();
   }
 
-  /** Calls back when something was told. Returns the way to stop. */
+  /** Calls back after each report. Returns the way to stop. */
   onChange(listener: () => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
-  private after(place: number): Entry<Told>[] {
-    if (place === this.lastPlace) return [];
-    return [...this.entries.values()].filter((entry) => entry.place > place);
+  private after(sequence: number): Entry<Report>[] {
+    if (sequence === this.lastSequence) return [];
+    return [...this.entries.values()].filter((entry) => entry.sequence > sequence);
   }
 }
