--- a/packages/control/src/log/commandLog.ts
+++ b/packages/control/src/log/commandLog.ts
@@ -1,4 +1,4 @@
-/** The replicated log as the control role uses it: a port, so that tests can put another behind it. */
+/** The replicated log as the control role uses it; an interface, so that tests can replace the implementation. */
 import type { ConnectRouter } from '@connectrpc/connect';
 import type { Fault } from '@jasmineroute/core';
 import type { Result } from 'neverthrow';
@@ -10,49 +10,49 @@
   readonly address: string;
 }
 
-/** What a replica knows of itself. */
+/** Status of this replica. */
 export interface LogStatus {
   readonly state: string;
   readonly term: bigint;
   readonly commitIndex: bigint;
   readonly lastApplied: bigint;
-  /** Name of the leader, when known. */
+  /** Name of the leader; undefined when unknown. */
   readonly leader?: string;
-  /** In touch with a quorum. */
+  /** Whether this replica is in touch with a quorum. */
   readonly vouched: boolean;
 }
 
-/** Whether the state may be told: while a log is replayed it passes through all that it once was. */
+/** Whether the state may be reported: during a replay of the log it passes through outdated states. */
 export const isCaughtUp = ({ vouched, lastApplied, commitIndex }: LogStatus): boolean =>
   vouched || lastApplied >= commitIndex;
 
-/** One row of the report over all replicas. */
+/** One row of the status report on all replicas. */
 export interface LogReplica extends ReplicaAddress {
   readonly replicaId: string;
   readonly state: string;
   readonly term: bigint;
   readonly commitIndex: bigint;
-  /** False: it did not answer, and the fields above say nothing. */
+  /** False when the replica did not answer; the fields above are meaningless then. */
   readonly reachable: boolean;
   readonly vouched: boolean;
 }
 
-/** A replicated, durable log with a state machine behind it. */
+/** A replicated, durable log that applies its entries to a state machine. */
 export interface CommandLog {
-  /** Adds the services between replicas. */
+  /** Registers the services that replicas call on each other. */
   routes(router: ConnectRouter): void;
-  /** Starts work; `address` is this process's own, host:port. */
+  /** Starts the replica; `address` is this process's own, host:port. */
   start(address: string): Promise<void>;
-  /** Resolves with the result of applying, once a quorum holds the command. */
+  /** Resolves with the outcome of applying the command, once a quorum holds it. */
   propose(command: Uint8Array, timeoutMs: number): Promise<Result<Uint8Array, Fault>>;
-  /** Resolves with the answer to a command that changes nothing; all that was accepted before shows in it. */
+  /** Resolves with the answer to a read-only command; it reflects all commands accepted before the call. */
   query(command: Uint8Array, timeoutMs: number): Promise<Result<Uint8Array, Fault>>;
   status(): LogStatus;
   onStatus(listener: () => void): () => void;
   onApplied(listener: (index: bigint) => void): () => void;
-  /** Voters and learners, as far as known. */
+  /** Known voters and learners. */
   members(): readonly ReplicaAddress[];
-  /** Adds a voter, or its new disk, to those there are; only the leader acts. */
+  /** Adds a voter, or re-adds one that has a new disk; only the leader does so. */
   enlist(replica: ReplicaAddress): Promise<Result<void, Fault>>;
   changeReplicas(wanted: ReplicaAddress[]): Promise<Result<void, Fault>>;
   replicas(): Promise<LogReplica[]>;
--- a/packages/control/src/log/disklessLog.ts
+++ b/packages/control/src/log/disklessLog.ts
@@ -1,4 +1,4 @@
-/** The log of a control instance without a disk: it holds nothing, and is in contact with nobody. */
+/** The log of a control instance without a disk: it stores nothing and is in touch with no other replica. */
 import type { ConnectRouter } from '@connectrpc/connect';
 import { routesWithoutDisk } from '@jasmineroute/coordination';
 import { fault } from '@jasmineroute/core';
@@ -16,8 +16,8 @@
 };
 
 /**
- * Lets an instance without a disk stand by, unready, where the platform starts control on machines that have none: an
- * instance that ended at once would be started again and again, and the others would wait for it.
+ * Keeps an instance without a disk running as a standby that is not ready, where the platform starts control on machines
+ * without one: a process that exited at once would be restarted again and again, and the other instances would wait for it.
  */
 export class DisklessLog implements CommandLog {
   private address = '';
--- a/packages/control/src/log/proposer.spec.ts
+++ b/packages/control/src/log/proposer.spec.ts
@@ -23,7 +23,7 @@
 
   const take = (name: string) => proposer.propose('take', { name, holder: 'h', limit: 1, ttlMs: 1_000 });
 
-  it('sends the first command at once and what waits meanwhile together', async () => {
+  it('sends the first command at once and batches those that wait meanwhile', async () => {
     const answers = await Promise.all(Array.from({ length: 18 }, (_, index) => take(`t${index}`)));
     expect(answers.map((answer) => answer._unsafeUnwrap().fence)).toEqual(
       Array.from({ length: 18 }, (_, index) => BigInt(index + 1)),
@@ -31,10 +31,10 @@
     expect(log.entries).toHaveLength(1 + Math.ceil(17 / LIMITS.batch));
   });
 
-  it('keeps batches and the queue within their bytes', async () => {
-    // Symptom: a control instance runs out of memory, or a batch is too long for one message.
-    // Sequence: many operators apply long documents, or entries settle with long answers, all at once.
-    // Cause: commands were counted, and their lengths weren't.
+  it('keeps batches and the queue within their byte limits', async () => {
+    // Guards against a control instance that runs out of memory and against a batch that is too long for one message:
+    // many operators apply long documents, or entries settle with long answers, at once, and only the number of commands
+    // was limited.
     const long = 'x'.repeat(6_000);
     const answers = await Promise.all(Array.from({ length: 30 }, () => take(long)));
     const refused = answers.filter((answer) => answer.isErr() && answer.error.kind === 'overloaded');
@@ -43,7 +43,7 @@
     expect(Math.max(...log.entries.map((entry) => entry.byteLength))).toBeLessThan(LIMITS.batchBytes);
   });
 
-  it('gives each command of a lost batch the same fault and goes on', async () => {
+  it('returns the same fault for each command of a lost batch and continues', async () => {
     log.lostAnswers = 1;
     const first = await take('a');
     expect(first._unsafeUnwrapErr()).toMatchObject({ kind: 'no-quorum', ran: 'may-have-run' });
@@ -58,10 +58,9 @@
     await running;
   });
 
-  it('reports a command without an outcome as not known', async () => {
-    // Symptom: an instance of an older release confirms a command that it did not apply.
-    // Sequence: its newer peers put a command into the log that it can't read; it leads and answers.
-    // Cause: an empty answer was taken for success.
+  it('reports a command without an outcome as a fault', async () => {
+    // Guards against an instance of an older release that confirms a command which it did not apply: the log holds a
+    // command of a newer peer that it can't decode, it leads, and an empty answer was treated as success.
     state.machine.apply(0n, Uint8Array.of(0xff));
     const answer: Result<unknown, Fault> = await take('a');
     expect(answer).toEqual(err(fault('internal', 'an outcome is missing')));
--- a/packages/control/src/log/proposer.ts
+++ b/packages/control/src/log/proposer.ts
@@ -1,4 +1,4 @@
-/** Puts commands into the log in batches. */
+/** Proposes commands to the log in batches. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import type { MessageInitShape } from '@bufbuild/protobuf';
 import { BinaryWriter, WireType } from '@bufbuild/protobuf/wire';
@@ -18,32 +18,32 @@
 /** Fields of a command before it is encoded. */
 export type CommandFields<C extends CommandCase> = Extract<CommandInit, { case: C }>['value'];
 
-interface Waiting {
+interface PendingCommand {
   /** The encoded command. */
   readonly command: Uint8Array;
   readonly settle: (result: Result<OutcomeUnion, Fault>) => void;
 }
 
-/** Bounds of the proposer. */
+/** Limits of the proposer. */
 export interface ProposerLimits {
-  /** Batches that may be on their way at once. */
+  /** Most batches in flight. */
   readonly inFlight: number;
-  /** Commands in one batch. */
+  /** Most commands in one batch. */
   readonly batch: number;
-  /** Bytes of commands in one batch; a longer command goes alone. */
+  /** Most bytes of commands in one batch; a longer command gets a batch of its own. */
   readonly batchBytes: number;
-  /** Bytes of commands that may wait; more are refused as overload. */
+  /** Most bytes of waiting commands; further ones are refused as overload. */
   readonly waitingBytes: number;
-  /** How long a batch may take, milliseconds. */
+  /** Timeout of a batch, milliseconds. */
   readonly timeoutMs: number;
 }
 
 /**
- * Batches commands: one goes out at once while few batches are on their way, and what arrives meanwhile goes
- * together. So a lone command waits for nothing, and many share one round trip and one sync.
+ * Batches commands: while fewer batches than the limit are in flight, a command is sent at once; otherwise it joins the
+ * next batch. So a single command is not delayed, and many share one round trip and one disk sync.
  */
 export class Proposer {
-  private waiting: Waiting[] = [];
+  private waiting: PendingCommand[] = [];
   private waitingBytes = 0;
   private readonly idleListeners = new Set<() => void>();
   private inFlight = 0;
@@ -65,27 +65,27 @@
     const outcome = await new Promise<Result<OutcomeUnion, Fault>>((settle) => {
       this.waiting.push({ command, settle });
       this.waitingBytes += command.byteLength;
-      this.send();
+      this.sendBatches();
     });
-    return outcome.andThen((union) => valueOf(name, union));
+    return outcome.andThen((union) => outcomeValue(name, union));
   }
 
-  /** Has a command answered that changes nothing. It waits behind no batch. */
+  /** Answers a read-only command. It does not wait for batches. */
   async query<C extends CommandCase>(name: C, value: CommandFields<C>): Promise<Result<OutcomeOf<C>, Fault>> {
     const batch = encodeBatch([encode({ case: name, value } as CommandInit)]);
     const answer = await this.log.query(batch, this.limits.timeoutMs);
     return answer
-      .andThen((outcomes) => pick(decodeOutcomes(outcomes), 0))
-      .andThen((union) => valueOf(name, union));
+      .andThen((outcomes) => outcomeAt(decodeOutcomes(outcomes), 0))
+      .andThen((union) => outcomeValue(name, union));
   }
 
-  /** Resolves when nothing waits and nothing is on its way. */
+  /** Resolves when no command is waiting or in flight. */
   async idle(): Promise<void> {
     if (this.inFlight === 0 && this.waiting.length === 0) return;
     await new Promise<void>((resolve) => this.idleListeners.add(resolve));
   }
 
-  private send(): void {
+  private sendBatches(): void {
     while (this.inFlight < this.limits.inFlight && this.waiting.length > 0) {
       const batch = this.takeBatch();
       this.inFlight += 1;
@@ -93,7 +93,7 @@
     }
   }
 
-  private takeBatch(): Waiting[] {
+  private takeBatch(): PendingCommand[] {
     const { batch, batchBytes } = this.limits;
     let bytes = 0;
     const end = this.waiting.findIndex(({ command }, position) => {
@@ -106,23 +106,23 @@
     return taken;
   }
 
-  private async run(batch: Waiting[]): Promise<void> {
-    const outcomes = await this.submit(batch.map(({ command }) => command));
+  private async run(batch: PendingCommand[]): Promise<void> {
+    const outcomes = await this.proposeBatch(batch.map(({ command }) => command));
     this.inFlight -= 1;
     for (const [position, { settle }] of batch.entries()) {
-      settle(outcomes.andThen((list) => pick(list, position)));
+      settle(outcomes.andThen((list) => outcomeAt(list, position)));
     }
-    this.send();
-    if (this.inFlight === 0) this.announceIdle();
+    this.sendBatches();
+    if (this.inFlight === 0) this.notifyIdleListeners();
   }
 
-  private announceIdle(): void {
+  private notifyIdleListeners(): void {
     const listeners = [...this.idleListeners];
     this.idleListeners.clear();
     for (const listener of listeners) listener();
   }
 
-  private async submit(commands: readonly Uint8Array[]): Promise<Result<OutcomeUnion[], Fault>> {
+  private async proposeBatch(commands: readonly Uint8Array[]): Promise<Result<OutcomeUnion[], Fault>> {
     const result = await this.log.propose(encodeBatch(commands), this.limits.timeoutMs);
     return result.map(decodeOutcomes);
   }
@@ -132,7 +132,7 @@
   return toBinary(stateMessage.CommandSchema, create(stateMessage.CommandSchema, { command }));
 }
 
-/** A `CommandBatch` of commands that are encoded already. */
+/** Encodes a `CommandBatch` of commands that are encoded already. */
 function encodeBatch(commands: readonly Uint8Array[]): Uint8Array {
   const { number } = stateMessage.CommandBatchSchema.field.commands;
   const writer = new BinaryWriter();
@@ -144,12 +144,13 @@
   return fromBinary(stateMessage.OutcomeBatchSchema, answer).outcomes.map(({ outcome }) => outcome);
 }
 
-function valueOf<C extends CommandCase>(name: C, union: OutcomeUnion): Result<OutcomeOf<C>, Fault> {
-  if (union.case !== name) return err(fault('internal', `outcome "${String(union.case)}" of "${name}"`));
+function outcomeValue<C extends CommandCase>(name: C, union: OutcomeUnion): Result<OutcomeOf<C>, Fault> {
+  if (union.case !== name)
+    return err(fault('internal', `outcome "${String(union.case)}" for command "${name}"`));
   return ok(union.value as OutcomeOf<C>);
 }
 
-function pick(outcomes: OutcomeUnion[], position: number): Result<OutcomeUnion, Fault> {
+function outcomeAt(outcomes: OutcomeUnion[], position: number): Result<OutcomeUnion, Fault> {
   const outcome = outcomes[position];
   if (outcome === undefined) return err(fault('internal', 'an outcome is missing'));
   return ok(outcome);
