--- a/packages/control/src/status/documentSource.ts
+++ b/packages/control/src/status/documentSource.ts
@@ -1,12 +1,12 @@
-/** Accepted documents as watchers get them. */
+/** The source of accepted documents for watchers. */
 import { documentFromMessage } from '@jasmineroute/directory';
 import type { DocumentSource, StoredDocument } from '@jasmineroute/directory';
 import type { DocumentState } from '../documents/index.js';
 import type { CommandLog } from '../log/index.js';
 
 /**
- * What the state machine has applied, which is what a quorum holds: a document that is proposed and not yet
- * accepted is in no state, so no watcher can see it.
+ * Reads the applied state, which a quorum holds: a document that is proposed but not yet accepted is not part of it, so no
+ * watcher sees it.
  */
 export class ControlDocumentSource implements DocumentSource {
   private readonly listeners = new Set<() => void>();
@@ -18,10 +18,10 @@
   ) {
     this.wasVouched = log.status().vouched;
     state.onChange(() => {
-      this.announce();
+      this.notifyListeners();
     });
     log.onStatus(() => {
-      this.followStatus();
+      this.onLogStatus();
     });
   }
 
@@ -47,15 +47,15 @@
     return this.log.status().vouched;
   }
 
-  /** Only a change of `vouched` concerns watchers; a leader's every step does not. */
-  private followStatus(): void {
+  /** Notifies watchers only when `vouched` changes; other changes of the log's status don't concern them. */
+  private onLogStatus(): void {
     const vouched = this.vouched();
     if (vouched === this.wasVouched) return;
     this.wasVouched = vouched;
-    this.announce();
+    this.notifyListeners();
   }
 
-  private announce(): void {
+  private notifyListeners(): void {
     for (const listener of this.listeners) listener();
   }
 }
--- a/packages/control/src/status/statusReport.ts
+++ b/packages/control/src/status/statusReport.ts
@@ -1,4 +1,4 @@
-/** The whole state of the system as one control instance knows it, for operators. */
+/** The status report for operators: the system as control instances know it. */
 import { create } from '@bufbuild/protobuf';
 import { createClient } from '@connectrpc/connect';
 import { instanceToMessage } from '@jasmineroute/directory';
@@ -8,10 +8,10 @@
 import type { DocumentState } from '../documents/index.js';
 import type { CommandLog, LogReplica } from '../log/index.js';
 
-/** Longest wait for another control instance's part. */
+/** Longest wait for another control instance's status, milliseconds. */
 const PEER_TIMEOUT_MS = 1_000;
 
-/** Where the report's parts come from. */
+/** Sources of the report. */
 export interface StatusSources {
   /** Name of this control instance. */
   readonly name: string;
@@ -21,7 +21,7 @@
   readonly members: Pick<Membership, 'reported'>;
 }
 
-/** Revision, replicas, instances with what they have in force, documents without texts; as known here. */
+/** Revision, replicas, instances with their revisions, and documents without texts, as this control instance knows them. */
 export async function localStatus(sources: StatusSources): Promise<controlMessage.StatusResponse> {
   const { state, log, members } = sources;
   const replicas = await log.replicas();
@@ -37,33 +37,33 @@
 }
 
 /**
- * The same with the newest revision that any control instance heard of each instance. An instance tells its
- * revision only to the control instance that it sends its heartbeats to: passing every one on would cost each
- * control instance a message for each instance and change.
+ * The local status, with the newest revision of each instance that any control instance knows. An instance reports its
+ * revision only to the control instance that receives its heartbeats: passing each report on would cost every control
+ * instance a message for each instance and change.
  */
 export async function wholeStatus(sources: StatusSources): Promise<controlMessage.StatusResponse> {
   const own = await localStatus(sources);
   const others = own.replicas.filter(({ name, state }) => name !== sources.name && state !== 'unreachable');
-  const heard = await Promise.all(others.map(({ address }) => heardAt(sources.peers, address)));
+  const perReplica = await Promise.all(others.map(({ address }) => instancesKnownTo(sources.peers, address)));
   const newest = new Map<string, bigint>();
-  for (const instance of heard.flat()) {
-    const known = newest.get(keyOf(instance)) ?? 0n;
-    if (instance.revision > known) newest.set(keyOf(instance), instance.revision);
+  for (const instance of perReplica.flat()) {
+    const known = newest.get(instanceKey(instance)) ?? 0n;
+    if (instance.revision > known) newest.set(instanceKey(instance), instance.revision);
   }
   for (const instance of own.instances) {
-    const elsewhere = newest.get(keyOf(instance)) ?? 0n;
-    if (elsewhere > instance.revision) instance.revision = elsewhere;
+    const newestRevision = newest.get(instanceKey(instance)) ?? 0n;
+    if (newestRevision > instance.revision) instance.revision = newestRevision;
   }
   return own;
 }
 
-/** An earlier start of a process says nothing of what a later one has in force. */
-function keyOf({ name, incarnation }: controlMessage.Instance): string {
+/** Includes the incarnation: the revision of an earlier start of a process doesn't apply to a later one. */
+function instanceKey({ name, incarnation }: controlMessage.Instance): string {
   return `${name}/${incarnation.toString()}`;
 }
 
-/** Instances as another control instance knows them; none when it does not answer. */
-async function heardAt(peers: Peers, address: string): Promise<controlMessage.Instance[]> {
+/** Instances as the control instance at an address knows them; empty when it does not answer. */
+async function instancesKnownTo(peers: Peers, address: string): Promise<controlMessage.Instance[]> {
   const client = createClient(controlMessage.Documents, peers.transport(address));
   try {
     const answer = await client.status({ local: true }, { timeoutMs: PEER_TIMEOUT_MS });
@@ -73,10 +73,10 @@
   }
 }
 
-/** Roles that say nothing without the contact that goes with them. */
-const ROLES_IN_CONTACT = new Set(['leader', 'follower', 'candidate']);
+/** States that are meaningful only while the replica is in touch with a quorum. */
+const STATES_NEEDING_QUORUM = new Set(['leader', 'follower', 'candidate']);
 
 function stateOf({ reachable, vouched, state }: LogReplica): string {
   if (!reachable) return 'unreachable';
-  return !vouched && ROLES_IN_CONTACT.has(state) ? 'isolated' : state;
+  return !vouched && STATES_NEEDING_QUORUM.has(state) ? 'isolated' : state;
 }
