--- a/packages/control/src/time/index.ts
+++ b/packages/control/src/time/index.ts
@@ -1,1 +1,1 @@
-export * from './timeKeeper.js';
+export * from './logTimeAdvancer.js';
--- a/packages/control/src/time/logTimeAdvancer.spec.ts
+++ b/packages/control/src/time/logTimeAdvancer.spec.ts
@@ -5,11 +5,11 @@
 import { createState } from '../role/index.js';
 import type { StateParts } from '../role/index.js';
 import { MAX_STEP_MS } from '../state/index.js';
-import { TimeKeeper } from './timeKeeper.js';
+import { TimeKeeper } from './logTimeAdvancer.js';
 
 const LIMITS = { inFlight: 1, batch: 8, batchBytes: 10_000, waitingBytes: 100_000, timeoutMs: 1_000 };
 
-describe('time of the log', () => {
+describe('log time', () => {
   let clock: ManualClock;
   let state: StateParts;
   let log: LocalLog;
@@ -30,7 +30,7 @@
     keeper.stop();
   });
 
-  /** Lets proposals settle between steps of the clock. */
+  /** Advances the clock in steps and waits for the proposals after each. */
   const pass = async (ms: number): Promise<void> => {
     for (let left = ms; left > 0; left -= 100) {
       await clock.advance(Math.min(left, 100));
@@ -48,9 +48,8 @@
   });
 
   it('adds one step at most after a pause', async () => {
-    // Symptom: after a leader was paused, many leases end at once, though their holders go on.
-    // Sequence: the leader's process stops for minutes and resumes, still the leader.
-    // Cause: the whole pause was added, though renewals could not be heard meanwhile.
+    // Guards against leases that expire all at once while their holders are alive: the leader's process stops for
+    // minutes and resumes as leader, and the whole pause was added although no renewal could arrive during it.
     await pass(5_000);
     const before = state.machine.now();
     await clock.advance(100);
@@ -61,16 +60,15 @@
     expect(state.machine.now() - before).toBe(MAX_STEP_MS);
   });
 
-  it('is not moved by the wall clock', async () => {
-    // Symptom: claims are forgotten early, and a request runs twice.
-    // Sequence: an operator or NTP sets the clock of the leader's machine a year ahead.
-    // Cause: expiry was compared with the wall clock.
+  it('ignores the wall clock', async () => {
+    // Guards against claims that expire early, so that a request runs twice: an operator or NTP sets the clock of the
+    // leader's machine years ahead, and expiry was compared with the wall clock.
     clock.now = () => new Date('2036-01-01T00:00:00Z');
     await pass(5_000);
     expect(state.machine.now()).toBeLessThanOrEqual(5_000);
   });
 
-  it('stands still while this replica does not lead, and when nothing waits for it', async () => {
+  it('does not advance while this replica does not lead, nor when nothing expires', async () => {
     log.isolate(true);
     await pass(5_000);
     expect(state.machine.now()).toBe(0);
--- a/packages/control/src/time/logTimeAdvancer.ts
+++ b/packages/control/src/time/logTimeAdvancer.ts
@@ -1,21 +1,21 @@
-/** Moves the state's time on while this replica leads. */
+/** Advances the log time while this replica leads. */
 import type { Clock, Log } from '@jasmineroute/core';
 import { controlEvents } from '../events.js';
 import type { CommandLog, Proposer } from '../log/index.js';
 import { MAX_STEP_MS } from '../state/index.js';
 import type { ControlState } from '../state/index.js';
 
-/** Time between two steps, milliseconds. */
-const TICK_MS = 1_000;
+/** Interval between two steps, milliseconds. */
+const STEP_INTERVAL_MS = 1_000;
 
 /**
- * The state's time, by monotonic differences. A step counts from when this replica saw the time it starts
- * from, never from an earlier moment, and no step is longer than `MAX_STEP_MS`. So the state's time never
- * runs ahead of real time: a wall clock that jumps is not read, a leader that was paused adds one step at
- * most, and of two leaders only one moves a given time on. A lease may last longer than asked, never shorter.
+ * Advances the log time by differences of the monotonic clock. A step is measured from the moment at which this replica
+ * applied the log time that the step starts from, never from an earlier one, and is at most `MAX_STEP_MS`. So the log time
+ * never runs ahead of real time: a jump of the wall clock has no effect, a leader that was paused adds one step at most, and
+ * of two leaders only one advances a given log time. A lease may last longer than requested, never shorter.
  */
 export class TimeKeeper {
-  private seenAt: number;
+  private lastStepAt: number;
   private readonly abort = new AbortController();
 
   constructor(
@@ -25,9 +25,9 @@
     private readonly clock: Clock,
     private readonly events: Log,
   ) {
-    this.seenAt = clock.monotonic();
+    this.lastStepAt = clock.monotonic();
     state.onTime(() => {
-      this.seenAt = clock.monotonic();
+      this.lastStepAt = clock.monotonic();
     });
   }
 
@@ -35,7 +35,7 @@
   async run(): Promise<void> {
     const { signal } = this.abort;
     for (;;) {
-      await this.clock.sleep(TICK_MS, signal).catch(() => undefined);
+      await this.clock.sleep(STEP_INTERVAL_MS, signal).catch(() => undefined);
       if (signal.aborted) return;
       if (this.log.status().state === 'leader' && this.state.expectsTime()) await this.step();
     }
@@ -47,7 +47,7 @@
 
   private async step(): Promise<void> {
     const fromMs = BigInt(this.state.now());
-    const elapsed = Math.floor(this.clock.monotonic() - this.seenAt);
+    const elapsed = Math.floor(this.clock.monotonic() - this.lastStepAt);
     const stepMs = Math.min(elapsed, MAX_STEP_MS);
     if (stepMs <= 0) return;
     const moved = await this.proposer.propose('advance', { fromMs, stepMs });
