--- a/packages/control/src/replicas/index.ts
+++ b/packages/control/src/replicas/index.ts
@@ -1,1 +1,1 @@
-export * from './replicaKeeper.js';
+export * from './replicaReconciler.js';
--- a/packages/control/src/replicas/replicaReconciler.spec.ts
+++ b/packages/control/src/replicas/replicaReconciler.spec.ts
@@ -5,7 +5,7 @@
 import { LocalLog, applyOne, controlText } from '../fixture/index.js';
 import { createState } from '../role/index.js';
 import type { StateParts } from '../role/index.js';
-import { ReplicaKeeper } from './replicaKeeper.js';
+import { ReplicaKeeper } from './replicaReconciler.js';
 
 describe('reconciliation of the replicas', () => {
   let clock: ManualClock;
