--- a/packages/control/src/claims/claimHash.ts
+++ b/packages/control/src/claims/claimHash.ts
@@ -4,7 +4,10 @@
 /** Bytes of a key's hash: 128 bits, so that accidental collisions are practically impossible. */
 export const KEY_HASH_BYTES = 16;
 
-/** Hash of a key of a customer of a service. The JSON encoding keeps the three apart, so that no two triples give the same input. */
+/**
+ * Hash of a customer's key at a service. The JSON encoding keeps the three apart, so that no two triples give the same
+ * input.
+ */
 export function hashClaimKey(service: string, customer: string, key: string): Buffer {
   const text = JSON.stringify([service, customer, key]);
   return createHash('sha256').update(text).digest().subarray(0, KEY_HASH_BYTES);
--- a/packages/control/src/claims/claimService.ts
+++ b/packages/control/src/claims/claimService.ts
@@ -13,9 +13,9 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** Most claims in the table. */
+  /** Maximum number of claims in the table. */
   readonly maxClaims: number;
-  /** Most bytes of kept answers. */
+  /** Maximum bytes of kept answers. */
   readonly maxAnswerBytes: number;
   /** Address of the leader, host:port; empty when unknown. */
   readonly leaderAddress: () => string;
--- a/packages/control/src/claims/claimState.spec.ts
+++ b/packages/control/src/claims/claimState.spec.ts
@@ -75,7 +75,7 @@
 
   it('lets only the holder settle', () => {
     // Guards against a request that runs twice after its first attempt was released: a late settlement of attempt one
-    // took effect on the claim of attempt two, which holds the key by then.
+    // takes effect on the claim of attempt two, which holds the key by then.
     claim('one');
     expect(settle('one', Settlement.RELEASED)).toBe(true);
     expect(claim('two')?.state).toBe(State.GRANTED);
@@ -85,8 +85,8 @@
   });
 
   it('does not grant a key again to an attempt that released it', () => {
-    // Guards against a key that stays held for an attempt that has ended: a copy of the claim arrives after the attempt
-    // was released and was treated as a new claim.
+    // Guards against a key that stays held for an attempt that has ended: a copy of the claim arrives after the
+    // release and is treated as a new claim.
     claim('one');
     settle('one', Settlement.RELEASED);
     expect(claim('one')?.state).toBe(State.UNKNOWN);
@@ -95,7 +95,7 @@
 
   it('does not grant a claim that arrives after its release', () => {
     // Guards against a key that stays held for an attempt that has ended: an entry gets no answer to its claim and
-    // releases it, the release arrives before the claim, and was not recorded.
+    // releases it, the release arrives before the claim and is not recorded.
     expect(settle('one', Settlement.RELEASED)).toBe(true);
     expect(claim('one')?.state).toBe(State.UNKNOWN);
     expect(claim('two')?.state).toBe(State.GRANTED);
@@ -113,7 +113,7 @@
 
   it('never lets another attempt take over a running one', () => {
     // Guards against a long request that runs twice: it outlives the window of its key, a resend arrives, and the claim
-    // expired or was granted to the resend although the first attempt had not settled.
+    // has expired or is granted to the resend although the first attempt has not settled.
     claim('one');
     advance(state.machine, 2 * HOUR_MS);
     expect(claim('two')).toMatchObject({ state: State.RUNNING, attemptId: 'one' });
@@ -143,7 +143,7 @@
 
   it('refuses new claims when the table is full and evicts none', () => {
     // Guards against an old key that runs again: more keys than the table may hold arrive within one window, and the
-    // oldest claims were evicted.
+    // oldest claims are evicted for them.
     claim('one', { key: 'a', maxClaims: 2 });
     claim('two', { key: 'b', maxClaims: 2 });
     const refused = outcomeOf('three', { key: 'c', maxClaims: 2 });
--- a/packages/control/src/claims/claimState.ts
+++ b/packages/control/src/claims/claimState.ts
@@ -13,11 +13,11 @@
 
 const { ClaimState: State, Settlement } = controlMessage;
 
-/** Longest window, milliseconds. */
+/** Longest window for which a settled key is remembered, milliseconds. */
 export const MAX_WINDOW_MS = 30 * 24 * 3_600_000;
 
 /**
- * Least time for which an unsettled claim is held, milliseconds, however short the window: if the claim of a running
+ * Minimum time for which an unsettled claim is held, milliseconds, however short the window: if the claim of a running
  * request expired, a resend would run the request a second time.
  */
 export const MIN_OPEN_CLAIM_MS = 24 * 3_600_000;
--- a/packages/control/src/configuration/configurationService.ts
+++ b/packages/control/src/configuration/configurationService.ts
@@ -23,7 +23,7 @@
 
 const encoder = new TextEncoder();
 
-/** Numbered configurations over the replicated log. A quorum has confirmed whatever is answered. */
+/** Numbered configurations over the replicated log. A quorum confirms each answer. */
 export class ConfigurationService {
   constructor(
     private readonly state: ConfigurationState,
--- a/packages/control/src/configuration/configurationState.spec.ts
+++ b/packages/control/src/configuration/configurationState.spec.ts
@@ -37,7 +37,7 @@
 
   it('never returns to an older configuration, and keeps the content of its number', () => {
     // Guards against a replaced configuration that is in force again, and against two contents under one number: a late
-    // older change, or the same number with other content, replaced the held configuration because it arrived last.
+    // older change, or the same number with other content, replaces the held configuration because it arrives last.
     configure(7, 'seven');
     expect(configure(5, 'five')).toMatchObject({ number: 7n, stored: false });
     expect(configure(7, 'other')).toMatchObject({ number: 7n, stored: false });
@@ -56,7 +56,7 @@
 
   it('reports the ages of recently replaced versions', () => {
     // Guards against requests that start on weights replaced longer ago than allowed: two newer versions are named 5 s
-    // apart, a target still has the oldest, and its age was counted from the newest version.
+    // apart, a target still has the oldest, and its age is counted from the newest version.
     name('m', 2);
     state.configuration.recentWeights(1_000);
     name('m', 3);
--- a/packages/control/src/documents/appliedIds.ts
+++ b/packages/control/src/documents/appliedIds.ts
@@ -3,7 +3,7 @@
 import { create } from '@bufbuild/protobuf';
 import { stateMessage } from '@jasmineroute/protocol';
 
-/** Most apply ids that are remembered: about 20 hours of changes at 12,000 a day. */
+/** Maximum number of apply ids that are remembered: about 20 hours of changes at 12,000 a day. */
 export const MAX_APPLY_IDS = 10_000;
 
 /** Hash of the fields that a resend must repeat, so that a reused id is not taken for a resend. */
--- a/packages/control/src/documents/documentRecord.ts
+++ b/packages/control/src/documents/documentRecord.ts
@@ -2,13 +2,13 @@
 import { create } from '@bufbuild/protobuf';
 import { controlMessage, stateMessage } from '@jasmineroute/protocol';
 
-/** Most versions of a service whose text is kept, including the current one. */
+/** Maximum number of versions of a service whose text is kept, including the current one. */
 export const MAX_STORED_TEXTS = 20;
 
-/** Most bytes of older texts that are kept for one service, besides the current text. */
+/** Maximum bytes of older texts that are kept for one service, besides the current text. */
 export const MAX_OLDER_TEXT_BYTES = 1024 * 1024;
 
-/** Most versions of a service in the history. */
+/** Maximum number of versions of a service in the history. */
 export const MAX_VERSIONS = 200;
 
 /** Adds a version and removes older versions and texts beyond the limits. */
--- a/packages/control/src/documents/documentState.spec.ts
+++ b/packages/control/src/documents/documentState.spec.ts
@@ -42,7 +42,7 @@
 
   it('lets exactly one of two operators replace a version', () => {
     // Guards against an accepted change that a colleague's overwrites: both operators read version 1 and apply a change
-    // based on it, and the second change's base version was not compared with the newest version.
+    // based on it, and the second change's base version is not compared with the newest version.
     apply({});
     expect(apply({ baseVersion: 1n, operator: 'bob' }).case).toBe('accepted');
     expect(apply({ baseVersion: 1n, operator: 'carol' })).toMatchObject({
@@ -54,7 +54,7 @@
 
   it('gives a resend the first outcome', () => {
     // Guards against an accepted change that is reported as a conflict: its answer is lost, the same request arrives
-    // again, also after further changes, and was treated as a new change with an old base version.
+    // again, also after further changes, and is treated as a new change with an old base version.
     const change = { baseVersion: 0n, applyId: 'again', text: 'one' };
     const first = apply(change);
     apply({ baseVersion: 1n });
@@ -64,7 +64,7 @@
 
   it('gives the resend of a conflict the first outcome', () => {
     // Guards against a change that is refused and later accepted: the answer of a conflict is lost, the same request
-    // arrives again when its base version has become the newest, and only accepted outcomes were remembered.
+    // arrives again when its base version has become the newest, and only accepted outcomes are remembered.
     const change = { baseVersion: 1n, applyId: 'early', text: 'one' };
     const first = apply(change);
     expect(first.case).toBe('conflict');
@@ -80,7 +80,7 @@
 
   it('lets only operators of the accepted version apply', () => {
     // Guards against a takeover of a team's document: a caller without its key applies a version that lists the caller's
-    // own key, and the operators of the new version were checked instead of those of the accepted one.
+    // own key, and the operators of the new version are checked instead of those of the accepted one.
     apply({});
     const otherKey = hashKey('mallory');
     const taken = apply({ baseVersion: 1n, keyHash: otherKey, operatorHashes: [otherKey] });
@@ -124,7 +124,7 @@
 
   it('keeps the last readable version in force when a newer one cannot be read', () => {
     // Guards against a model that is given to a second service during a rolling upgrade: an operator uses a field of the
-    // newer release, and an instance of the older one treated the document that it can't read as absent.
+    // newer release, and an instance of the older one treats the document that it can't read as absent.
     const events: EventKind[] = [];
     const log: Log = { event: (kind) => events.push(kind), with: () => log };
     const view = new DocumentView(state.documents, log);
@@ -147,7 +147,7 @@
 
   it('does not let callers without a valid key evict outcomes of operators', () => {
     // Guards against an accepted change that is reported as a conflict: its answer is lost, a caller without a valid key
-    // sends many changes, the operator resends, and the rejections had evicted the operator's outcome.
+    // sends many changes, the operator resends, and the rejections have evicted the operator's outcome.
     const change = { applyId: 'mine', text: 'mine' };
     const first = apply(change);
     const keyHash = hashKey('mallory');
--- a/packages/control/src/documents/documentState.ts
+++ b/packages/control/src/documents/documentState.ts
@@ -10,7 +10,10 @@
 /** Outcomes that decide a change; it is not proposed again. */
 export type FinalOutcome = Exclude<Outcome, { case: 'staleRevision' } | { case: undefined }>;
 
-/** Outcomes that are remembered for resends. Rejections are not: callers without a valid key could evict operators' outcomes. */
+/**
+ * Outcomes that are remembered for resends. Rejections are not: callers without a valid key could evict the outcomes of
+ * operators.
+ */
 const REMEMBERED_OUTCOMES = new Set<Outcome['case']>(['accepted', 'conflict']);
 
 /** A precondition of a change: returns an outcome when the change must not be accepted. */
--- a/packages/control/src/log/disklessLog.ts
+++ b/packages/control/src/log/disklessLog.ts
@@ -17,7 +17,8 @@
 
 /**
  * Keeps an instance without a disk running as a standby that is not ready, where the platform starts control on machines
- * without one: a process that exited at once would be restarted again and again, and the other instances would wait for it.
+ * without one: a process that exited at once would be restarted again and again, and the other instances would wait for
+ * it.
  */
 export class DisklessLog implements CommandLog {
   private address = '';
--- a/packages/control/src/log/proposer.spec.ts
+++ b/packages/control/src/log/proposer.spec.ts
@@ -34,7 +34,7 @@
   it('keeps batches and the queue within their byte limits', async () => {
     // Guards against a control instance that runs out of memory and against a batch that is too long for one message:
     // many operators apply long documents, or entries settle with long answers, at once, and only the number of commands
-    // was limited.
+    // is limited.
     const long = 'x'.repeat(6_000);
     const answers = await Promise.all(Array.from({ length: 30 }, () => take(long)));
     const refused = answers.filter((answer) => answer.isErr() && answer.error.kind === 'overloaded');
@@ -60,7 +60,7 @@
 
   it('reports a command without an outcome as a fault', async () => {
     // Guards against an instance of an older release that confirms a command which it did not apply: the log holds a
-    // command of a newer peer that it can't decode, it leads, and an empty answer was treated as success.
+    // command of a newer peer that it can't decode, it leads, and an empty answer is treated as success.
     state.machine.apply(0n, Uint8Array.of(0xff));
     const answer: Result<unknown, Fault> = await take('a');
     expect(answer).toEqual(err(fault('internal', 'an outcome is missing')));
--- a/packages/control/src/log/proposer.ts
+++ b/packages/control/src/log/proposer.ts
@@ -26,13 +26,13 @@
 
 /** Limits of the proposer. */
 export interface ProposerLimits {
-  /** Most batches in flight. */
+  /** Maximum number of batches in flight. */
   readonly inFlight: number;
-  /** Most commands in one batch. */
+  /** Maximum number of commands in one batch. */
   readonly batch: number;
-  /** Most bytes of commands in one batch; a longer command gets a batch of its own. */
+  /** Maximum bytes of commands in one batch; a longer command gets a batch of its own. */
   readonly batchBytes: number;
-  /** Most bytes of waiting commands; further ones are refused as overload. */
+  /** Maximum bytes of waiting commands; further ones are refused as overload. */
   readonly waitingBytes: number;
   /** Timeout of a batch, milliseconds. */
   readonly timeoutMs: number;
--- a/packages/control/src/recent/recentBoard.ts
+++ b/packages/control/src/recent/recentBoard.ts
@@ -1,7 +1,7 @@
 /** Reports that arrive several times a second and are outdated after a second: loads of targets, work of entries. */
 import type { Clock } from '@jasmineroute/core';
 
-/** Most keys that are held; the one with the oldest report is evicted. */
+/** Maximum number of keys that are held; the one with the oldest report is evicted. */
 const MAX_KEYS = 10_000;
 
 interface Entry<Report> {
--- a/packages/control/src/replicas/replicaReconciler.spec.ts
+++ b/packages/control/src/replicas/replicaReconciler.spec.ts
@@ -36,7 +36,7 @@
 
   it('repeats the request until the change is complete, also after a change of leader', async () => {
     // Guards against a replacement of a control instance that stays incomplete: the leader is lost in the middle of the
-    // change and another one takes over, but the change was requested only once, by the instance that accepted the document.
+    // change and another one takes over, but the change is requested only once, by the instance that accepted the document.
     accept(['c1=10.0.0.1:1', 'c2=10.0.0.2:1'], 0n);
     log.changeFaults.push(fault('not-leader', 'x'), fault('no-quorum', 'x'));
     void keeper.run();
@@ -52,7 +52,8 @@
 
   it('requests the change of the newest document while an older change is in progress', async () => {
     // Guards against a corrected address of a new instance that takes effect only after half a minute: the first document
-    // has an address that nothing listens on, the next one corrects it, and the first change was waited for.
+    // has an address that nothing listens on, the next one corrects it, and the reconciler waits for the end of the first
+    // change.
     accept(['c1=10.0.0.1:1', 'c2=10.0.0.9:1'], 0n);
     log.hangChanges = true;
     keeper.look();
--- a/packages/control/src/state/controlState.spec.ts
+++ b/packages/control/src/state/controlState.spec.ts
@@ -97,7 +97,7 @@
 
   it('expires entries at the same moments with and without a snapshot', () => {
     // Guards against replicas of which only one still holds an answer. An answer expires between two expiry rounds, and
-    // a replica is caught up by a snapshot at that time: without the time of the last round it ran one at once.
+    // a replica is caught up by a snapshot at that time: without the time of the last round it runs one at once.
     const request = { ...names, key: 'k', attemptId: 'one', windowMs: 5_000n, fingerprint: Uint8Array.of(1) };
     const done = { ...request, settlement: Settlement.DONE, answer: { status: 200 } };
     const reference = createState().machine;
@@ -116,7 +116,7 @@
 
   it('advances the time once when two leaders measure the same interval', () => {
     // Guards against leases that expire after half their duration: a replaced leader and its successor both propose a
-    // step from the same time, and both steps were added.
+    // step from the same time, and both steps are added.
     const { machine } = createState();
     const value = { fromMs: 0n, stepMs: 1_000 };
     applyBatch(machine, [
@@ -128,7 +128,7 @@
 
   it('advances by one bounded step, however long an interval a leader measures', () => {
     // Guards against leases that expire all at once while their holders are alive: the leader's process stops for
-    // minutes and resumes as leader, and the whole pause was added although no renewal could arrive during it.
+    // minutes and resumes as leader, and the whole pause is added although no renewal could arrive during it.
     const { machine } = createState();
     applyOne(machine, { case: 'advance', value: { fromMs: 0n, stepMs: 600_000 } });
     expect(machine.now()).toBe(MAX_STEP_MS);
@@ -136,7 +136,7 @@
 
   it('stops at an entry of a newer release that it cannot decode', () => {
     // Guards against an instance that shows other documents than its peers after a rolling upgrade: a newer instance
-    // puts a command into the log that an older one doesn't know, and the older one skipped it and continued.
+    // puts a command into the log that an older one doesn't know, and the older one skips it and continues.
     const { machine, documents } = createState();
     let notifications = 0;
     machine.onBroken(() => (notifications += 1));
--- a/packages/control/src/stores/storeWatch.spec.ts
+++ b/packages/control/src/stores/storeWatch.spec.ts
@@ -50,7 +50,7 @@
 
   it('tracks what a store keeps, and discards it after a gap or a restart', async () => {
     // Guards against shared parts that are computed again and again despite a store: the store restarts or its events are
-    // lost, and parts that it no longer keeps were still counted as present.
+    // lost, and parts that it no longer keeps still count as present.
     const clock = new ManualClock();
     const state = createState();
     const part = (id: string, isKept: boolean) => ({ salt: 's', model: 'm', part: id, isKept });
@@ -90,7 +90,7 @@
 
   it('lists the whole content once when events are lost', async () => {
     // Guards against shared parts that are computed again after a restart of control although the store has them: the
-    // store sends only its newest events, and parts of earlier events were treated as missing.
+    // store sends only its newest events, and parts of earlier events are treated as missing.
     const clock = new ManualClock();
     const state = createState();
     const part = (id: string) => ({ salt: 's', model: 'm', part: id, isKept: true });
--- a/packages/control/src/stores/storeWatch.ts
+++ b/packages/control/src/stores/storeWatch.ts
@@ -20,7 +20,7 @@
 const LIST_TIMEOUT_MS = 1_000;
 
 /**
- * Least time between two whole lists of one store, milliseconds: a list stalls the store, and a store whose events are
+ * Minimum time between two whole lists of one store, milliseconds: a list stalls the store, and a store whose events are
  * lost continually would be stalled continually. Several times as long as a store takes to replace its content.
  */
 const MIN_LIST_INTERVAL_MS = 30_000;
--- a/packages/control/src/time/logTimeAdvancer.spec.ts
+++ b/packages/control/src/time/logTimeAdvancer.spec.ts
@@ -49,7 +49,7 @@
 
   it('adds one step at most after a pause', async () => {
     // Guards against leases that expire all at once while their holders are alive: the leader's process stops for
-    // minutes and resumes as leader, and the whole pause was added although no renewal could arrive during it.
+    // minutes and resumes as leader, and the whole pause is added although no renewal could arrive during it.
     await pass(5_000);
     const before = state.machine.now();
     await clock.advance(100);
@@ -62,7 +62,7 @@
 
   it('ignores the wall clock', async () => {
     // Guards against claims that expire early, so that a request runs twice: an operator or NTP sets the clock of the
-    // leader's machine years ahead, and expiry was compared with the wall clock.
+    // leader's machine years ahead, and expiry is compared with the wall clock.
     clock.now = () => new Date('2036-01-01T00:00:00Z');
     await pass(5_000);
     expect(state.machine.now()).toBeLessThanOrEqual(5_000);
