--- a/packages/routing/src/policy/flights.ts
+++ b/packages/routing/src/policy/flights.ts
@@ -1,59 +1,59 @@
-/** Requests that this entry has sent, for what no probe can tell yet. */
+/** Requests that this entry has sent and that are not yet visible in the loads reported by probes. */
 import type { Chain } from '../prefix/index.js';
 import { sharedBlocks } from '../prefix/index.js';
 import type { Candidate, Job } from './policy.js';
 
-interface Flight {
+interface InFlightPrefill {
   readonly job: Job;
   readonly sentAt: number;
-  /** Prefill that the request brings along, milliseconds. */
+  /** Expected prefill time of the request, milliseconds; 0 once its first token has arrived. */
   readonly prefillMs: number;
 }
 
-/** Time after which a request is taken to have its first token, where nobody tells. */
-const ANSWERED_MS = 2_000;
+/** Time after which the prefill of a request is assumed to be done when no first token was reported. */
+const ASSUMED_PREFILL_MS = 2_000;
 
-/** Requests under way, by target. Bounded by the requests of the entry. */
-export class Flights {
-  private readonly flights = new Map<string, Map<Job, Flight>>();
+/** In-flight requests by target. Bounded by the number of in-flight requests of the entry. */
+export class InFlightPrefills {
+  private readonly byTarget = new Map<string, Map<Job, InFlightPrefill>>();
 
-  add(candidate: Candidate, flight: Flight): void {
-    const there = this.flights.get(candidate.name) ?? new Map<Job, Flight>();
-    this.flights.set(candidate.name, there.set(flight.job, flight));
+  add(candidate: Candidate, prefill: InFlightPrefill): void {
+    const prefills = this.byTarget.get(candidate.name) ?? new Map<Job, InFlightPrefill>();
+    this.byTarget.set(candidate.name, prefills.set(prefill.job, prefill));
   }
 
-  /** Takes a request off; doing it twice changes nothing. */
+  /** Removes a request; has no effect when it is not in flight. */
   remove(candidate: Candidate, job: Job): void {
-    const there = this.flights.get(candidate.name);
-    there?.delete(job);
-    if (there?.size === 0) this.flights.delete(candidate.name);
+    const prefills = this.byTarget.get(candidate.name);
+    prefills?.delete(job);
+    if (prefills?.size === 0) this.byTarget.delete(candidate.name);
   }
 
-  /** A request has its first token: its prefill is done. */
-  answered(candidate: Candidate, job: Job): void {
-    const there = this.flights.get(candidate.name);
-    const flight = there?.get(job);
-    if (flight !== undefined) there?.set(job, { ...flight, prefillMs: 0 });
+  /** Records that a request has its first token. */
+  prefillDone(candidate: Candidate, job: Job): void {
+    const prefills = this.byTarget.get(candidate.name);
+    const prefill = prefills?.get(job);
+    if (prefill !== undefined) prefills?.set(job, { ...prefill, prefillMs: 0 });
   }
 
-  /** Milliseconds of prefill that this entry has lately sent to a target, as far as it is not known to be done. */
-  unansweredMs(candidate: Candidate, now: number): number {
-    return this.sentSince(candidate, now - ANSWERED_MS);
+  /** Milliseconds of prefill that this entry recently sent to a target and that is not known to be done. */
+  pendingMs(candidate: Candidate, now: number): number {
+    return this.prefillMsSince(candidate, now - ASSUMED_PREFILL_MS);
   }
 
-  /** Milliseconds of prefill sent to a target at `time` or later: what a probe sent then can't have seen. */
-  sentSince(candidate: Candidate, time: number): number {
+  /** Milliseconds of prefill sent to a target at `time` or later, which a probe sent at `time` does not include. */
+  prefillMsSince(candidate: Candidate, time: number): number {
     let sum = 0;
-    for (const flight of this.flights.get(candidate.name)?.values() ?? []) {
-      if (flight.sentAt >= time) sum += flight.prefillMs;
+    for (const prefill of this.byTarget.get(candidate.name)?.values() ?? []) {
+      if (prefill.sentAt >= time) sum += prefill.prefillMs;
     }
     return sum;
   }
 
-  /** Blocks of a chain that a request under way at the target computes or has computed. */
+  /** Leading blocks of a chain that an in-flight request at the target shares. */
   pendingBlocks(candidate: Candidate, chain: Chain): number {
     let blocks = 0;
-    for (const { job } of this.flights.get(candidate.name)?.values() ?? []) {
+    for (const { job } of this.byTarget.get(candidate.name)?.values() ?? []) {
       blocks = Math.max(blocks, sharedBlocks(job.chain, chain));
     }
     return blocks;
--- a/packages/routing/src/policy/homeCounts.spec.ts
+++ b/packages/routing/src/policy/homeCounts.spec.ts
@@ -6,7 +6,7 @@
 const KEY = 42;
 
 describe('HomeCounts', () => {
-  it('gives a hot prefix homes by its share at once, and takes them back one by one', async () => {
+  it('adds homes for a popular prefix at once and removes them one by one', async () => {
     const clock = new ManualClock();
     const counts = new HomeCounts(clock);
     expect(counts.homes(KEY, 0.01, 13)).toBe(1);
@@ -18,9 +18,9 @@
     expect(counts.homes(KEY, 0.01, 13)).toBe(6);
   });
 
-  it('does not flap when the share swings about a border', async () => {
-    // Symptom: one home's cache is warmed for nothing again and again.
-    // Sequence: a prefix's share swings between 14 and 17 in 100 every second. Cause: homes follow it at once.
+  it('does not flap when the share oscillates around a threshold', async () => {
+    // If the number of homes followed the share in both directions at once, a share that changes between 14 and
+    // 17 in 100 every second would fill the cache of a new home again and again for nothing.
     const clock = new ManualClock();
     const counts = new HomeCounts(clock);
     const seen = new Set<number>();
@@ -39,7 +39,7 @@
 });
 
 describe('Popularity', () => {
-  it('tells a hot prefix among very many, and forgets it', async () => {
+  it('estimates the share of a popular prefix among many others, and lets it decay', async () => {
     const clock = new ManualClock();
     const popularity = new Popularity(clock);
     for (let request = 0; request < 5_000; request += 1) {
@@ -52,7 +52,7 @@
     expect(popularity.share(KEY)).toBeLessThan(0.2);
   });
 
-  it('goes on counting for days', async () => {
+  it('keeps its precision for days', async () => {
     const clock = new ManualClock();
     const popularity = new Popularity(clock);
     for (let hour = 0; hour < 72; hour += 1) {
--- a/packages/routing/src/policy/homeCounts.ts
+++ b/packages/routing/src/policy/homeCounts.ts
@@ -1,65 +1,65 @@
 /**
- * How many homes each prefix has.
+ * Number of homes of each prefix.
  *
- * What goes wrong: a prefix with a large part of the traffic overruns one home while others idle, and when the
- * number of homes follows the traffic at once, it goes to and fro, each time warming a cache for nothing.
- * Homes grow at once here, and shrink by one only after the traffic has been well below for a while.
+ * A prefix with a large share of the traffic would overload a single home while other targets idle. If the number of
+ * homes followed the traffic in both directions at once, it would flap, and each new home would fill its cache for
+ * nothing. The number therefore grows at once, and shrinks one by one after the traffic has been well below for a while.
  */
 import type { Clock } from '@jasmineroute/core';
 
-/** Room above the fair share that each home has. */
+/** Capacity of the homes relative to the traffic of the prefix. */
 const HEADROOM = 1.25;
 
-/** Homes may shrink when this many fewer would do. */
-const SLACK = 0.75;
+/** The number shrinks by one only when the traffic needs this much less than the smaller number. */
+const SHRINK_MARGIN = 0.75;
 
-/** Time between two steps down. */
-const SHRINK_MS = 5_000;
+/** Minimum time between two decrements, and from the last time that the homes were needed. */
+const SHRINK_INTERVAL_MS = 5_000;
 
-/** Prefixes with more than one home that are remembered. */
+/** Maximum number of prefixes with more than one home. */
 const MAX_PREFIXES = 4_096;
 
 interface HomeCount {
   count: number;
-  /** When the traffic last asked for this many, or the count last shrank. */
-  since: number;
+  /** When the traffic last needed this many, or the count was last reduced. */
+  neededAt: number;
 }
 
-/** Homes by prefix; prefixes with one home take no memory. */
+/** Number of homes by prefix. Prefixes with one home are not stored. */
 export class HomeCounts {
   private readonly counts = new Map<number, HomeCount>();
 
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Homes of a prefix now.
-   * @param share part of the traffic that has the prefix, 0 to 1.
-   * @param targets how many targets there are.
+   * Current number of homes of a prefix.
+   * @param share share of the traffic that has the prefix, 0 to 1.
+   * @param targets number of targets.
    */
   homes(key: number, share: number, targets: number): number {
     const wanted = Math.min(targets, Math.max(1, share * targets * HEADROOM));
-    const known = this.counts.get(key);
-    if (known === undefined) return this.begin(key, Math.ceil(wanted));
-    this.adjust(known, wanted);
-    known.count = Math.min(known.count, targets);
-    if (known.count <= 1) this.counts.delete(key);
-    return known.count;
+    const homeCount = this.counts.get(key);
+    if (homeCount === undefined) return this.add(key, Math.ceil(wanted));
+    this.adjust(homeCount, wanted);
+    homeCount.count = Math.min(homeCount.count, targets);
+    if (homeCount.count <= 1) this.counts.delete(key);
+    return homeCount.count;
   }
 
-  private begin(key: number, count: number): number {
+  private add(key: number, count: number): number {
     if (count <= 1) return 1;
     if (this.counts.size >= MAX_PREFIXES) this.forgetOldest();
-    this.counts.set(key, { count, since: this.clock.monotonic() });
+    this.counts.set(key, { count, neededAt: this.clock.monotonic() });
     return count;
   }
 
-  private adjust(known: HomeCount, wanted: number): void {
+  private adjust(homeCount: HomeCount, wanted: number): void {
     const now = this.clock.monotonic();
-    if (wanted > known.count - 1 - SLACK) known.since = now;
-    if (wanted > known.count) known.count = Math.ceil(wanted);
-    if (now - known.since < SHRINK_MS) return;
-    known.count -= 1;
-    known.since = now;
+    if (wanted > homeCount.count - 1 - SHRINK_MARGIN) homeCount.neededAt = now;
+    if (wanted > homeCount.count) homeCount.count = Math.ceil(wanted);
+    if (now - homeCount.neededAt < SHRINK_INTERVAL_MS) return;
+    homeCount.count -= 1;
+    homeCount.neededAt = now;
   }
 
   private forgetOldest(): void {
--- a/packages/routing/src/policy/candidateLevels.ts
+++ b/packages/routing/src/policy/homesByLevel.ts
@@ -1,15 +1,15 @@
-/** Which targets are worth asking for a prompt. */
+/** Selection of targets by the prefixes of a prompt. */
 import type { Chain } from '../prefix/index.js';
 import { levelsOf } from '../prefix/index.js';
 import type { Candidate } from './policy.js';
 import { homesOf } from './rendezvousHash.js';
 
-/** Key of prompts too short for any level: all of them may go anywhere. */
+/** Key of prompts that are too short to have a level. */
 const NO_PREFIX = { low: 0, high: 0 };
 
 /**
- * Homes of a prompt's levels, deepest level first, each target once. A full home of the deep level is
- * followed by the homes of shallower ones, which hold the longest prefix that the prompt shares with others.
+ * Homes of a prompt's levels, deepest level first, without duplicates. If the home of the deepest level is full, the
+ * homes of shallower levels have the longest remaining prefixes that the prompt shares with others.
  */
 export function homesByLevel(chain: Chain, candidates: readonly Candidate[], count: number): Candidate[] {
   const homes = new Set<Candidate>();
--- a/packages/routing/src/policy/index.ts
+++ b/packages/routing/src/policy/index.ts
@@ -4,5 +4,5 @@
 export * from './registry.js';
 export * from './rendezvousHash.js';
 export type { CostOptions, RecomputeWeight } from './costs.js';
-export { Weighing } from './weighing.js';
-export type { WeighingOptions } from './weighing.js';
+export { LowestCost } from './weighing.js';
+export type { LowestCostOptions } from './weighing.js';
--- a/packages/routing/src/policy/learntHints.ts
+++ b/packages/routing/src/policy/learntHints.ts
@@ -1,14 +1,14 @@
-/** Baseline: where the prefix went last, learnt from this entry's own requests; nothing is asked. */
+/** Baseline: the target to which this entry last sent the prefix, without probes. */
 import { levelsOf } from '../prefix/index.js';
 import { Outstanding } from './outstanding.js';
 import type { Candidate, Choice, Job, Outcome, Policy } from './policy.js';
 import { PrefixHints } from './prefixHints.js';
 
-/** A hinted target takes at most this many times the mean load, and always some. */
+/** Maximum load of a hinted target, as a multiple of the mean load, and its lower bound in requests. */
 const LOAD_BOUND = 1.25;
-const ALWAYS_TAKEN = 2;
+const MIN_BOUND = 2;
 
-/** Follows its hints while the hinted target is not above the bound; else the fewest outstanding requests. */
+/** Prefers hinted targets whose load is below the bound, then those with the fewest outstanding requests. */
 export class LearntHints implements Policy {
   private readonly hints = new PrefixHints();
   private readonly outstanding = new Outstanding();
@@ -18,7 +18,7 @@
     const bound = this.bound(candidates);
     const open = hinted.filter((candidate) => this.outstanding.count(candidate) < bound);
     const rest = candidates.filter((candidate) => !open.includes(candidate));
-    rest.sort((a, b) => this.outstanding.relative(a) - this.outstanding.relative(b));
+    rest.sort((a, b) => this.outstanding.perCapacity(a) - this.outstanding.perCapacity(b));
     return Promise.resolve({ order: [...open, ...rest] });
   }
 
@@ -34,6 +34,6 @@
 
   private bound(candidates: readonly Candidate[]): number {
     const all = candidates.reduce((sum, candidate) => sum + this.outstanding.count(candidate), 1);
-    return Math.max(ALWAYS_TAKEN, (LOAD_BOUND * all) / candidates.length);
+    return Math.max(MIN_BOUND, (LOAD_BOUND * all) / candidates.length);
   }
 }
--- a/packages/routing/src/policy/leastOutstanding.ts
+++ b/packages/routing/src/policy/leastOutstanding.ts
@@ -1,13 +1,13 @@
-/** Baseline: the target with the fewest of this entry's requests. */
+/** Baseline: the target with the fewest outstanding requests of this entry. */
 import { Outstanding } from './outstanding.js';
 import type { Candidate, Choice, Job, Outcome, Policy } from './policy.js';
 
-/** Chooses by the entry's own outstanding requests for each unit of capacity; ties go in turn. */
+/** Chooses by outstanding requests per unit of capacity; ties are broken in rotation. */
 export class LeastOutstanding implements Policy {
   private readonly outstanding = new Outstanding();
   private turn: number;
 
-  /** @param seed where ties start. */
+  /** @param seed start of the rotation. */
   constructor(seed: number) {
     this.turn = Math.abs(Math.trunc(seed));
   }
@@ -16,7 +16,7 @@
     const first = this.turn % candidates.length;
     this.turn += 1;
     const turned = [...candidates.slice(first), ...candidates.slice(0, first)];
-    const order = turned.sort((a, b) => this.outstanding.relative(a) - this.outstanding.relative(b));
+    const order = turned.sort((a, b) => this.outstanding.perCapacity(a) - this.outstanding.perCapacity(b));
     return Promise.resolve({ order });
   }
 
--- a/packages/routing/src/policy/weighing.spec.ts
+++ b/packages/routing/src/policy/lowestCost.spec.ts
@@ -7,14 +7,14 @@
 
 const RATE = 8_000;
 
-/** A target as probes see it. */
+/** Simulated target. */
 class FakeTarget {
   readonly chains: Chain[] = [];
   queuedTokens = 0;
   running = 0;
-  /** Whether a cache event was lost: nothing held is vouched for. */
+  /** Whether a cache event was lost, so that no cached block is confirmed. */
   gap = false;
-  /** How many times longer first tokens take than the probes say. */
+  /** Factor by which first tokens take longer than probes estimate. */
   slowness = 1;
 
   constructor(readonly candidate: Candidate) {}
@@ -58,25 +58,25 @@
   );
 }
 
-interface Bed {
+interface TestSetup {
   readonly clock: ManualClock;
   readonly targets: FakeTarget[];
   /** Probes sent so far. */
-  probes: number;
+  probeCount: number;
   /** Whether the next probe is answered in time. */
   answers: () => boolean;
-  /** Each call makes the policy of another entry, or of a restarted one. */
+  /** Creates the policy of another or restarted entry. */
   readonly entry: (name?: string) => Policy;
 }
 
-function bed(count: number): Bed {
+function createSetup(count: number): TestSetup {
   const clock = new ManualClock();
   const targets = targetsOf(count);
   let seed = 0;
-  const made: Bed = {
+  const made: TestSetup = {
     clock,
     targets,
-    probes: 0,
+    probeCount: 0,
     answers: () => true,
     entry: (name = 'default') =>
       policies.get(name)({
@@ -84,7 +84,7 @@
         dataCentre: 'kollupitiya',
         seed: (seed += 1),
         probe: (candidate, job) => {
-          made.probes += 1;
+          made.probeCount += 1;
           const target = targets.find((one) => one.candidate.name === candidate.name);
           return Promise.resolve(made.answers() ? target?.read(job) : undefined);
         },
@@ -95,7 +95,7 @@
 
 const block = (label: string): string => label.padEnd(BLOCK_BYTES, '.').slice(0, BLOCK_BYTES);
 
-/** A prompt of a collection (80 blocks under a house style of 40) with a question of its own (8 blocks). */
+/** A prompt of 40 blocks shared by all, 80 blocks shared by the collection, and 8 blocks of its own. */
 function jobOf(collection: string, question: string, more: Partial<Job> = {}): Job {
   const house = Array.from({ length: 40 }, (_, place) => block(`house ${place}`));
   const shared = Array.from({ length: 80 }, (_, place) => block(`${collection} ${place}`));
@@ -119,19 +119,20 @@
   };
 }
 
-const namesOf = (targets: readonly FakeTarget[]): Candidate[] => targets.map((target) => target.candidate);
+const candidatesOf = (targets: readonly FakeTarget[]): Candidate[] =>
+  targets.map((target) => target.candidate);
 
 async function send(policy: Policy, targets: FakeTarget[], job: Job): Promise<FakeTarget> {
-  const choice = await policy.choose(job, namesOf(targets));
+  const choice = await policy.choose(job, candidatesOf(targets));
   const target = targets.find(({ candidate }) => candidate === choice.order[0]);
   if (target === undefined) throw new Error('no choice');
   policy.dispatched(target.candidate, job);
   return target;
 }
 
-/** Sends and ends a request; its prompt stays cached. */
+/** Sends and completes a request; its prompt stays cached. */
 async function serve(policy: Policy, targets: FakeTarget[], job: Job): Promise<FakeTarget> {
-  const choice = await policy.choose(job, namesOf(targets));
+  const choice = await policy.choose(job, candidatesOf(targets));
   const target = await send(policy, targets, job);
   const firstTokenMs = (choice.estimateMs ?? 0) * target.slowness;
   target.chains.push(job.chain);
@@ -142,12 +143,11 @@
 
 describe('default policy', () => {
   it.each([6, 13, 60])(
-    "finds the prefix again after all of %s targets' entries have restarted",
+    'finds cached prefixes at %s targets after all entries have restarted',
     async (count) => {
-      // Symptom: after a restart of the entries the hit rate falls for minutes.
-      // Sequence: entries route by what they have learnt, all restart together, all has to be learnt anew.
-      // Cause: homes that are remembered instead of computed.
-      const { targets, entry } = bed(count);
+      // If entries routed by learnt placements instead of computed homes, the hit rate would drop for minutes
+      // after all of them restart together.
+      const { targets, entry } = createSetup(count);
       const before = entry();
       const homes = new Map<string, FakeTarget>();
       for (let turn = 0; turn < 120; turn += 1) {
@@ -161,10 +161,10 @@
     },
   );
 
-  it('sends a herd on a new prefix to one target, from all entries', async () => {
-    // Symptom: a new prefix is computed at several targets at once. Sequence: twelve requests with it arrive at
-    // three entries together. Cause: no target has it cached, so each goes wherever it is idlest.
-    const { targets, entry } = bed(13);
+  it('sends simultaneous requests with a new prefix from all entries to one target', async () => {
+    // While no target has a new prefix cached, requests at several entries must agree on a target. If each went to
+    // the least loaded one, the prefix would be computed at several targets at once.
+    const { targets, entry } = createSetup(13);
     const entries = [entry(), entry(), entry()];
     const chosen = new Set<FakeTarget>();
     for (let turn = 0; turn < 12; turn += 1) {
@@ -174,8 +174,8 @@
     expect(chosen.size).toBe(1);
   });
 
-  it('spills from a busy home to a target where the prefix is cached or waits are shorter, and back', async () => {
-    const { clock, targets, entry } = bed(6);
+  it('diverts requests from a busy home, and returns to it when its queue is empty', async () => {
+    const { clock, targets, entry } = createSetup(6);
     const policy = entry();
     const home = await serve(policy, targets, jobOf('a', 'q0'));
     await clock.advance(1_000);
@@ -187,7 +187,7 @@
   });
 
   it('waits longer for a cached prefix when the objective is reuse', async () => {
-    const { targets, entry } = bed(6);
+    const { targets, entry } = createSetup(6);
     const policy = entry();
     const home = await serve(policy, targets, jobOf('a', 'q0'));
     home.queuedTokens = 15_000;
@@ -196,9 +196,9 @@
   });
 
   it("does not send all of many entries' requests to the one idle target", async () => {
-    // Symptom: load swings from target to target. Sequence: sixty entries hear at once that one of sixty targets
-    // idles, and each sends it its next request before the load is told again. Cause: all take the idlest.
-    const { targets, entry } = bed(60);
+    // If all entries chose the least loaded target, the load would oscillate between targets: sixty entries learn
+    // at once that one target is idle, and each sends it its next request before it reports its load again.
+    const { targets, entry } = createSetup(60);
     const idle = targets[7];
     for (const target of targets) target.queuedTokens = target === idle ? 0 : 16_000;
     const entries = Array.from({ length: 60 }, () => entry());
@@ -220,10 +220,10 @@
     expect(sent).toBeLessThan(25);
   });
 
-  it('counts what it has sent itself since the probe', async () => {
-    // Symptom: a burst goes to one target. Sequence: forty requests are decided while the answers of all their
-    // probes still say that one target is the best. Cause: what the entry has sent in between is not counted.
-    const { targets, entry } = bed(2);
+  it('takes into account the requests that it sent since the probe', async () => {
+    // Forty concurrent requests get probe answers that all show the same target as the best. Without counting the
+    // requests sent since the probes, the whole burst would go to this target.
+    const { targets, entry } = createSetup(2);
     const policy = entry();
     const first = await serve(policy, targets, jobOf('first', 'q'));
     const jobs = Array.from({ length: 40 }, (_, turn) => jobOf(`c${turn}`, 'q'));
@@ -231,10 +231,10 @@
     expect(chosen.filter((target) => target === first).length).toBeLessThan(30);
   });
 
-  it('avoids a target that answers later than it promises, and tries it again later', async () => {
-    // Symptom: one target's requests are slow, and it gets more of them, for it looks idle.
-    // Sequence: its network slows down; it reports no queue. Cause: only reported load is looked at.
-    const { clock, targets, entry } = bed(6);
+  it('avoids a target that is slower than estimated, and tries it again later', async () => {
+    // A target with a slow network reports no queue. A policy that looks only at the reported load would send it
+    // even more requests.
+    const { clock, targets, entry } = createSetup(6);
     const policy = entry();
     const slow = await serve(policy, targets, jobOf('a', 'q0'));
     slow.slowness = 20;
@@ -252,10 +252,10 @@
     expect(await sentToSlow('tried')).toBeGreaterThan(0);
   });
 
-  it('does not flood an engine that has just started', async () => {
-    // Symptom: the first requests to a restarted engine wait longest. Sequence: it comes back empty and idle, and
-    // the overflow of all others goes there. Cause: idle counts, cold does not.
-    const { clock, targets, entry } = bed(6);
+  it('does not overload an engine that has just started', async () => {
+    // A restarted engine is idle and has an empty cache. If it took all overflow of the other targets at once, its
+    // first requests would wait longest.
+    const { clock, targets, entry } = createSetup(6);
     const policy = entry();
     await serve(policy, targets, jobOf('a', 'q0'));
     await clock.advance(10_000);
@@ -275,20 +275,19 @@
     expect(sent).toBeLessThanOrEqual(4);
   });
 
-  it('leaves the other targets in peace while the home has the prefix and no queue', async () => {
-    const made = bed(13);
+  it('does not probe further targets while the home has the prefix and no queue', async () => {
+    const made = createSetup(13);
     const policy = made.entry();
     for (let turn = 0; turn < 20; turn += 1) await serve(policy, made.targets, jobOf('a', `q${turn}`));
-    made.probes = 0;
+    made.probeCount = 0;
     await serve(policy, made.targets, jobOf('a', 'last'));
-    expect(made.probes).toBe(4);
+    expect(made.probeCount).toBe(4);
   });
 
-  it('keeps prompts at their caches when most probes time out', async () => {
-    // Symptom: on a busy machine the hit rate falls to nothing, and with it everything else.
-    // Sequence: two probes of three time out; the target with the prefix is silent, another one answers.
-    // Cause: only targets that answer are weighed.
-    const made = bed(6);
+  it('sends prompts to the targets that cache them when most probes time out', async () => {
+    // Two of three probes time out on a busy machine. If only targets that answer were considered, prompts would go
+    // to targets without their prefix, and the hit rate would collapse.
+    const made = createSetup(6);
     const policy = made.entry();
     const homes = new Map<string, FakeTarget>();
     const collections = Array.from({ length: 20 }, (_, place) => `c${place}`);
@@ -305,40 +304,40 @@
     expect(kept).toBeGreaterThanOrEqual(18);
   });
 
-  it('finds the likely cache when events are lost, and does not promise it', async () => {
-    // Symptom: hit rate falls with each lost cache event. Sequence: an event is lost; no target vouches for what
-    // it holds; a prompt goes to its home though another target has it. Cause: what is likely counts for nothing.
-    const { targets, entry } = bed(6);
+  it('uses likely cached blocks for ranking but not for the estimate when cache events are lost', async () => {
+    // After a lost cache event no block of a target is confirmed. If likely blocks were ignored, a prompt would go to
+    // its home although another target has it cached, and the hit rate would fall with each lost event.
+    const { targets, entry } = createSetup(6);
     const home = await send(entry(), targets, jobOf('a', 'q0'));
     const other = targets.find((target) => target !== home);
     other?.chains.push(jobOf('a', 'q1').chain);
     for (const target of targets) target.gap = true;
-    const choice = await entry().choose(jobOf('a', 'q2'), namesOf(targets));
+    const choice = await entry().choose(jobOf('a', 'q2'), candidatesOf(targets));
     expect(choice.order[0]).toBe(other?.candidate);
     expect(choice.estimateMs).toBeGreaterThan(200);
   });
 
-  it('spreads the load over targets that are all silent', async () => {
-    const made = bed(6);
+  it('spreads the load when all probes time out', async () => {
+    const made = createSetup(6);
     made.answers = () => false;
     const policy = made.entry();
     const chosen = new Set<FakeTarget>();
     for (let turn = 0; turn < 60; turn += 1)
       chosen.add(await send(policy, made.targets, jobOf(`c${turn}`, 'q')));
     expect(chosen.size).toBe(6);
-    const choice = await policy.choose(jobOf('a', 'q'), namesOf(made.targets));
+    const choice = await policy.choose(jobOf('a', 'q'), candidatesOf(made.targets));
     expect(choice.estimateMs).toBeUndefined();
   });
 });
 
 describe('all policies', () => {
-  it.each(policies.names())('%s chooses among the candidates, short prompts too', async (name) => {
-    const { targets, entry } = bed(3);
+  it.each(policies.names())('%s chooses among the candidates, also for short prompts', async (name) => {
+    const { targets, entry } = createSetup(3);
     const policy = entry(name);
     const empty = jobOf('a', 'q', { chain: new BigUint64Array(0), promptTokens: 3 });
     for (const job of [empty, jobOf('a', 'q')]) {
-      const choice = await policy.choose(job, namesOf(targets));
-      expect(namesOf(targets)).toEqual(expect.arrayContaining([...choice.order]));
+      const choice = await policy.choose(job, candidatesOf(targets));
+      expect(candidatesOf(targets)).toEqual(expect.arrayContaining([...choice.order]));
       expect(choice.order.length).toBeGreaterThan(0);
       expect(new Set(choice.order).size).toBe(choice.order.length);
     }
--- a/packages/routing/src/policy/outstanding.ts
+++ b/packages/routing/src/policy/outstanding.ts
@@ -1,7 +1,7 @@
-/** Requests that this entry has at each target. */
+/** Outstanding requests of this entry at each target. */
 import type { Candidate, Job } from './policy.js';
 
-/** Jobs by target. Bounded by the requests under way. */
+/** Outstanding jobs by target. Bounded by the number of in-flight requests of the entry. */
 export class Outstanding {
   private readonly jobs = new Map<string, Set<Job>>();
 
@@ -10,20 +10,20 @@
     this.jobs.set(candidate.name, jobs.add(job));
   }
 
-  /** Takes a job off; doing it twice changes nothing. */
+  /** Removes a job; has no effect when it is not outstanding. */
   remove(candidate: Candidate, job: Job): void {
     const jobs = this.jobs.get(candidate.name);
     jobs?.delete(job);
     if (jobs?.size === 0) this.jobs.delete(candidate.name);
   }
 
-  /** Number of jobs at a target. */
+  /** Number of outstanding jobs at a target. */
   count(candidate: Candidate): number {
     return this.jobs.get(candidate.name)?.size ?? 0;
   }
 
-  /** Jobs for each unit of capacity. */
-  relative(candidate: Candidate): number {
+  /** Outstanding jobs per unit of capacity. */
+  perCapacity(candidate: Candidate): number {
     return this.count(candidate) / Math.max(1, candidate.capacity);
   }
 }
--- a/packages/routing/src/policy/policy.ts
+++ b/packages/routing/src/policy/policy.ts
@@ -1,24 +1,24 @@
-/** The port of routing policies: from a request and its candidates to a choice. */
+/** Interface of routing policies, which choose a target for a request among its candidates. */
 import type { Clock } from '@jasmineroute/core';
 import type { Objective } from '@jasmineroute/document';
 import type { Chain } from '../prefix/index.js';
 
-/** Load of a target, as its agent last reported it. */
+/** Load of a target, as last reported by its agent. */
 export interface Load {
   readonly running: number;
   readonly queued: number;
   /** Prompt tokens waiting for prefill. */
   readonly queuedTokens: number;
-  /** Prompt tokens waiting at the asked priority or above. */
+  /** Prompt tokens waiting at the priority of the request or above. */
   readonly aheadTokens: number;
-  /** Tokens a second of prefill; 0: not known. */
+  /** Prefill speed, tokens per second; 0 if unknown. */
   readonly prefillRate: number;
-  /** Milliseconds between output tokens; 0: not known. */
+  /** Milliseconds between output tokens; 0 if unknown. */
   readonly tokenMs: number;
   readonly capacity: number;
 }
 
-/** A target that may take the request: alive, ready, the right model, adapter and weights loaded. */
+/** A target that can serve the request: alive, ready, with the required model, adapter and weights loaded. */
 export interface Candidate {
   /** Name of the agent's instance. */
   readonly name: string;
@@ -28,67 +28,67 @@
   readonly suspect: boolean;
 }
 
-/** What a policy may know of the request. */
+/** Properties of a request that a policy may use. */
 export interface Job {
   readonly service: string;
   readonly customer: string;
   readonly model: string;
-  /** Version of the weights that the request is served with; absent for plain services. */
+  /** Version of the weights that serve the request; absent for services without versioned weights. */
   readonly weightsVersion?: string;
-  /** Block hashes of the prompt under its namespace. */
+  /** Block hashes of the prompt in its namespace. */
   readonly chain: Chain;
   readonly promptTokens: number;
   readonly priority: number;
   /** Milliseconds until the caller's deadline. */
   readonly deadlineMs: number;
   readonly objective: Objective;
-  /** Targets that this request has failed on. */
+  /** Targets on which this request has already failed. */
   readonly excluded: ReadonlySet<string>;
 }
 
-/** Exact answer of an agent. */
+/** An agent's answer to a probe. */
 export interface ProbeReading {
   readonly engineIncarnation: string;
   readonly accepting: boolean;
-  /** Prompt tokens that are vouched for to be cached. */
+  /** Prompt tokens that are known to be cached. */
   readonly cachedTokens: number;
-  /** With blocks that a lost cache event may have removed; `cachedTokens` when absent. */
+  /** `cachedTokens` plus blocks that a lost cache event may have removed; equal to `cachedTokens` when absent. */
   readonly likelyTokens?: number;
   readonly load: Load;
-  /** Agent's estimate of the time to first token, milliseconds. */
+  /** The agent's estimate of the time to first token, milliseconds. */
   readonly estimateMs: number;
 }
 
-/** Asks an agent. Resolves to undefined when it does not answer in time. */
+/** Sends a probe to an agent. Resolves to undefined when the probe times out. */
 export type Probe = (candidate: Candidate, job: Job) => Promise<ProbeReading | undefined>;
 
-/** What a policy is made with. */
+/** Dependencies of a policy. */
 export interface PolicyContext {
   readonly clock: Clock;
   readonly dataCentre: string;
   readonly probe: Probe;
-  /** Seed of the policy's random numbers. */
+  /** Seed of the policy's random number generator. */
   readonly seed: number;
-  /** Milliseconds to import one block of KV cache from another target; nothing is imported when absent. */
+  /** Milliseconds to import one block of KV cache from another target. Imports are disabled when absent. */
   readonly importBlockMs?: number;
 }
 
-/** A choice, best first. */
+/** The targets chosen for a request. */
 export interface Choice {
-  /** Never empty; later ones are for retries. */
+  /** Targets in order of preference, never empty. Those after the first are used for retries. */
   readonly order: readonly Candidate[];
-  /** Expected time to first token at the first, milliseconds; undefined when the policy does not estimate. */
+  /** Expected time to first token at the first target, milliseconds; undefined without an estimate. */
   readonly estimateMs?: number;
-  /** Name of a target to import KV cache from, when that is quicker. */
+  /** Name of a target to import KV cache from, when that is faster than recomputing. */
   readonly importFrom?: string;
 }
 
-/** What became of a request at a target; policies learn from it. */
+/** Result of a request at a target, reported to the policy. */
 export interface Outcome {
   readonly candidate: Candidate;
-  /** The same object that `dispatched` was given. */
+  /** The same object that was passed to `dispatched`. */
   readonly job: Job;
-  /** Told at the first token, and once more at the end; only at the end when absent. */
+  /** Whether this reports the first token or the end of the request; the end when absent. */
   readonly phase?: 'first-token' | 'end';
   readonly ok: boolean;
   /** Milliseconds from dispatch to the first token. */
@@ -97,18 +97,18 @@
   readonly load?: Load;
 }
 
-/** A way to choose targets. One instance for each entry process and service. */
+/** A routing policy. Each entry process has one instance per service. */
 export interface Policy {
-  /** @param candidates never empty; those in `job.excluded` are left out already. */
+  /** @param candidates never empty, without the targets in `job.excluded`. */
   choose(job: Job, candidates: readonly Candidate[]): Promise<Choice>;
-  /** A request went out to a target. */
+  /** Called when a request has been sent to a target. */
   dispatched(candidate: Candidate, job: Job): void;
   /**
-   * Its first token came, or it ended in any way. Every dispatched request is told of with phase "end"
-   * exactly once, also one that was refused, cut or cancelled.
+   * Called when a request has its first token and when it ends. Every dispatched request is reported with phase
+   * "end" exactly once, also when it was refused, interrupted or cancelled.
    */
   settled(outcome: Outcome): void;
 }
 
-/** Makes a policy. Registered by name. */
+/** Creates a policy; registered under the policy's name. */
 export type PolicyFactory = (context: PolicyContext) => Policy;
--- a/packages/routing/src/policy/popularity.ts
+++ b/packages/routing/src/policy/popularity.ts
@@ -1,24 +1,24 @@
-/** How large a part of the requests each prefix has had lately, in bounded memory. */
+/** Share of the recent requests of each prefix, in bounded memory. */
 import type { Clock } from '@jasmineroute/core';
 
 const ROWS = 4;
 const COLUMNS = 2_048;
 
-/** Time in which a past request comes to count for 1/e. */
+/** Time in which the weight of a request decays to 1/e. */
 const DECAY_MS = 10_000;
 
-/** Weights are scaled back after this time, long before numbers lose digits. */
+/** Interval at which weights are rescaled, long before they lose precision. */
 const RESCALE_MS = 25 * DECAY_MS;
 
-/** Requests that are taken as seen at the start, so that the first prefix is not at once the whole traffic. */
+/** Requests assumed at the start, so that the first prefix does not count as all of the traffic. */
 const PRIOR_REQUESTS = 20;
 
 const UNIT = 2 ** -32;
 const ROW_FACTORS = [0x9e3779b1, 0x85ebca77, 0xc2b2ae3d, 0x27d4eb2f];
 
 /**
- * Count-min sketch with decay. Newer requests weigh more instead of older ones less, so that nothing is walked
- * through as time passes. Shares are at times too large, by collisions, and never too small.
+ * Count-min sketch with exponential decay. Instead of decaying old counts, new requests get a larger weight, which
+ * avoids updating all counters as time passes. Collisions can make a share too large, never too small.
  */
 export class Popularity {
   private readonly counts = new Float64Array(ROWS * COLUMNS);
@@ -29,25 +29,25 @@
     this.epoch = clock.monotonic();
   }
 
-  /** Counts one request: all its prefixes. */
+  /** Counts one request under all of its prefixes. */
   record(keys: readonly number[]): void {
     if (this.clock.monotonic() - this.epoch > RESCALE_MS) this.rescale();
-    const weight = this.weight();
-    this.total += weight;
+    const newestWeight = this.weight();
+    this.total += newestWeight;
     for (const key of keys) {
-      for (let row = 0; row < ROWS; row += 1) this.add(row, key, weight);
+      for (let row = 0; row < ROWS; row += 1) this.add(row, key, newestWeight);
     }
   }
 
   /** Share of the recent requests that have a prefix, 0 to 1. */
   share(key: number): number {
     let least = Number.POSITIVE_INFINITY;
-    for (let row = 0; row < ROWS; row += 1) least = Math.min(least, this.counts[place(row, key)] ?? 0);
+    for (let row = 0; row < ROWS; row += 1) least = Math.min(least, this.counts[cellOf(row, key)] ?? 0);
     return least / this.total;
   }
 
   private add(row: number, key: number, weight: number): void {
-    const index = place(row, key);
+    const index = cellOf(row, key);
     this.counts[index] = (this.counts[index] ?? 0) + weight;
   }
 
@@ -65,7 +65,7 @@
   }
 }
 
-function place(row: number, key: number): number {
+function cellOf(row: number, key: number): number {
   const low = key | 0;
   const high = Math.trunc(key / 4_294_967_296);
   const mixed = Math.imul(low ^ (low >>> 15) ^ high, ROW_FACTORS[row] ?? 1);
--- a/packages/routing/src/policy/prefixHints.ts
+++ b/packages/routing/src/policy/prefixHints.ts
@@ -1,27 +1,27 @@
-/** Where this entry has sent prefixes lately. Only a hint: engines evict within seconds, and probes tell. */
+/** Targets to which this entry recently sent prefixes. Only a hint: engines may evict a prefix within seconds. */
 import type { Level } from '../prefix/index.js';
 import type { Candidate } from './policy.js';
 
-/** Prefixes that are remembered; about 100 bytes each. */
+/** Maximum number of prefixes; each takes about 100 bytes. */
 const MAX_PREFIXES = 8_192;
 
-/** Targets that are remembered for a prefix. */
+/** Maximum number of targets per prefix. */
 const MAX_TARGETS = 3;
 
-/** A prefix that has been seen, and where it went. */
+/** A known prefix and the targets to which it was sent. */
 export interface Hint {
   readonly level: Level;
-  /** Candidates that it went to, newest first. */
+  /** Candidates to which it was sent, most recent first. */
   readonly candidates: readonly Candidate[];
 }
 
-/** Bounded memory of prefixes and targets; the prefix least lately used is forgotten first. */
+/** Bounded LRU map from prefixes to targets. */
 export class PrefixHints {
   private readonly targets = new Map<number, readonly string[]>();
 
   constructor(private readonly capacity = MAX_PREFIXES) {}
 
-  /** A prompt with these levels went to a target. */
+  /** Records that a prompt with these levels was sent to a target. */
   record(levels: readonly Level[], target: string): void {
     for (const { key } of levels) {
       const before = this.targets.get(key) ?? [];
@@ -31,7 +31,7 @@
     this.trim();
   }
 
-  /** The deepest level that has been seen; undefined when none has. */
+  /** Hint for the deepest known level; undefined when none is known. */
   deepest(levels: readonly Level[], candidates: readonly Candidate[]): Hint | undefined {
     for (const level of levels) {
       const names = this.targets.get(level.key);
@@ -42,7 +42,7 @@
     return undefined;
   }
 
-  /** Blocks of the deepest of these levels that went to a target; 0: none. */
+  /** Blocks of the deepest of these levels that was sent to a target; 0 if none was. */
   blocksAt(levels: readonly Level[], target: string): number {
     const level = levels.find(({ key }) => this.targets.get(key)?.includes(target));
     return level?.blocks ?? 0;
--- a/packages/routing/src/policy/random.ts
+++ b/packages/routing/src/policy/random.ts
@@ -1,17 +1,17 @@
-/** Random numbers of a policy, the same for the same seed. */
+/** Deterministic random numbers of a policy. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** Numbers from 0 (included) to 1 (left out). */
+/** Uniform numbers in [0, 1). */
 export type Random = () => number;
 
-/** Makes a source from a seed. */
+/** Creates a generator from a seed. */
 export function createRandom(seed: number): Random {
   const generator = xoroshiro128plus(seed);
   return () => uniformFloat64(generator);
 }
 
-/** Draws `count` different items; all of them when there are no more. */
+/** Draws `count` distinct items, or all of them when there are no more. */
 export function draw<Item>(random: Random, items: readonly Item[], count: number): Item[] {
   if (items.length <= count) return [...items];
   const drawn = new Set<Item>();
--- a/packages/routing/src/policy/registry.ts
+++ b/packages/routing/src/policy/registry.ts
@@ -1,65 +1,65 @@
-/** All policies by name, earlier versions of the default among them. */
+/** All policies by name, including earlier versions of the default. */
 import { Registry } from '@jasmineroute/core';
 import { LearntHints } from './learntHints.js';
 import { LeastOutstanding } from './leastOutstanding.js';
 import type { PolicyFactory } from './policy.js';
-import { RendezvousProbe } from './probing.js';
+import { RendezvousProbe } from './rendezvousProbe.js';
 import { Rendezvous } from './rendezvous.js';
 import { RoundRobin } from './roundRobin.js';
-import { Weighing } from './weighing.js';
-import type { WeighingOptions } from './weighing.js';
+import { LowestCost } from './weighing.js';
+import type { LowestCostOptions } from './weighing.js';
 
-/** Second version of the default: weighs queues and remembers what it has seen. */
-const v2: WeighingOptions = {
+/** Second version of the default: takes queues into account and uses past observations. */
+const v2: LowestCostOptions = {
   probes: 4,
-  probesUnknown: 6,
+  probesWithoutHint: 6,
   weights: {
-    latency: { base: 1, perWaiting: 1, perWaitingThere: 0 },
-    reuse: { base: 3, perWaiting: 2, perWaitingThere: 0 },
+    latency: { base: 1, perQueued: 1, perQueuedAtTarget: 0 },
+    reuse: { base: 3, perQueued: 2, perQueuedAtTarget: 0 },
   },
-  mostWaiting: 20,
-  firstProbes: 6,
-  trustLikely: false,
-  rememberSilent: false,
+  maxMeanQueued: 20,
+  initialProbes: 6,
+  countLikelyBlocks: false,
+  useHistoryOnTimeout: false,
   homePreference: 0.1,
 };
 
 /**
- * Third version: asks six targets in place of four, and counts longer queues more. Four miss targets that hold the
- * prefix; a cap of 20 on the queues lets caches be spent under overload.
+ * Third version: probes six targets instead of four, because four miss targets that have the prefix cached, and
+ * raises the bound of the mean queue length from 20, which let the policy waste cached prefixes under overload.
  */
-const v3: WeighingOptions = {
+const v3: LowestCostOptions = {
   probes: 6,
-  probesUnknown: 6,
+  probesWithoutHint: 6,
   weights: {
-    latency: { base: 1, perWaiting: 2, perWaitingThere: 0 },
-    reuse: { base: 3, perWaiting: 3, perWaitingThere: 0 },
+    latency: { base: 1, perQueued: 2, perQueuedAtTarget: 0 },
+    reuse: { base: 3, perQueued: 3, perQueuedAtTarget: 0 },
   },
-  mostWaiting: 100,
-  firstProbes: 6,
-  trustLikely: false,
-  rememberSilent: false,
+  maxMeanQueued: 100,
+  initialProbes: 6,
+  countLikelyBlocks: false,
+  useHistoryOnTimeout: false,
   homePreference: 0.1,
 };
 
 /**
- * Fourth version: goes on comparing caches by what is likely when cache events are lost, weighs silent targets
- * from memory, and asks two targets before it asks all six. Queues elsewhere weigh up to four requests, and the
- * base more: v3 left requests waiting for seconds at a hot home while others idled.
+ * Fourth version: compares caches by their likely content when cache events are lost, estimates targets whose probe
+ * timed out from past observations, and probes two targets before all six. It bounds the mean queue length at four
+ * and raises the base weight: v3 let requests wait for seconds at an overloaded home while other targets idled.
  */
-const v4: WeighingOptions = {
+const v4: LowestCostOptions = {
   ...v3,
-  firstProbes: 2,
+  initialProbes: 2,
   weights: {
-    latency: { base: 2, perWaiting: 1, perWaitingThere: 1 },
-    reuse: { base: 6, perWaiting: 1, perWaitingThere: 1 },
+    latency: { base: 2, perQueued: 1, perQueuedAtTarget: 1 },
+    reuse: { base: 6, perQueued: 1, perQueuedAtTarget: 1 },
   },
-  mostWaiting: 4,
-  trustLikely: true,
-  rememberSilent: true,
+  maxMeanQueued: 4,
+  countLikelyBlocks: true,
+  useHistoryOnTimeout: true,
 };
 
-/** Policies that a document or the bench tool can name. */
+/** Policies that can be selected in a document or in the bench tool. */
 export const policies = new Registry<PolicyFactory>('policy')
   .add('round-robin', (context) => new RoundRobin(context.seed))
   .add('least-outstanding', (context) => new LeastOutstanding(context.seed))
@@ -67,7 +67,7 @@
   .add('rendezvous-probe', (context) => new RendezvousProbe(context))
   .add('learnt-hints', () => new LearntHints())
   .add('v1', (context) => new RendezvousProbe(context))
-  .add('v2', (context) => new Weighing(context, v2))
-  .add('v3', (context) => new Weighing(context, v3))
-  .add('v4', (context) => new Weighing(context, v4))
-  .add('default', (context) => new Weighing(context, v4));
+  .add('v2', (context) => new LowestCost(context, v2))
+  .add('v3', (context) => new LowestCost(context, v3))
+  .add('v4', (context) => new LowestCost(context, v4))
+  .add('default', (context) => new LowestCost(context, v4));
--- a/packages/routing/src/policy/rendezvous.ts
+++ b/packages/routing/src/policy/rendezvous.ts
@@ -1,24 +1,24 @@
-/** Baseline: rendezvous hashing on prefix levels with bounded load, without asking anybody. */
-import { homesByLevel } from './candidateLevels.js';
+/** Baseline: rendezvous hashing on prefix levels with bounded load, without probes. */
+import { homesByLevel } from './homesByLevel.js';
 import { Outstanding } from './outstanding.js';
 import type { Candidate, Choice, Job, Outcome, Policy } from './policy.js';
 
-/** A home takes at most this many times the mean load of the candidates. */
+/** Maximum load of a home, as a multiple of the mean load of the candidates. */
 const LOAD_BOUND = 1.25;
 
-/** Homes that are tried before any other target. */
-const HOMES = 6;
+/** Maximum number of homes in a choice. */
+const MAX_HOMES = 6;
 
-/** Sends each prompt to the first of its homes that is not above the bound. */
+/** Sends each prompt to the first of its homes whose load is below the bound. */
 export class Rendezvous implements Policy {
   private readonly outstanding = new Outstanding();
 
   choose(job: Job, candidates: readonly Candidate[]): Promise<Choice> {
-    const homes = homesByLevel(job.chain, candidates, Math.min(HOMES, candidates.length));
+    const homes = homesByLevel(job.chain, candidates, Math.min(MAX_HOMES, candidates.length));
     const bound = this.bound(candidates);
     const free = homes.filter((home) => this.outstanding.count(home) < bound * home.capacity);
     const full = homes.filter((home) => !free.includes(home));
-    full.sort((a, b) => this.outstanding.relative(a) - this.outstanding.relative(b));
+    full.sort((a, b) => this.outstanding.perCapacity(a) - this.outstanding.perCapacity(b));
     return Promise.resolve({ order: [...free, ...full] });
   }
 
@@ -31,7 +31,7 @@
     this.outstanding.remove(outcome.candidate, outcome.job);
   }
 
-  /** Requests for each unit of capacity that a home may have, this one included. */
+  /** Maximum requests per unit of capacity at a home, including the current request. */
   private bound(candidates: readonly Candidate[]): number {
     let requests = 1;
     let capacity = 0;
--- a/packages/routing/src/policy/rendezvousHash.ts
+++ b/packages/routing/src/policy/rendezvousHash.ts
@@ -1,23 +1,23 @@
 /**
- * Weighted rendezvous hashing: each target draws a score from the key and its name, the largest wins. It is
- * computed from names alone, so all entries agree and a restarted one decides as before; a target that comes
- * or goes moves only its own keys.
+ * Weighted rendezvous hashing: each target gets a score from the key and its name, and the highest scores are the
+ * homes of the key. Scores depend on names and capacities alone, so that all entries agree, also after a restart, and
+ * adding or removing a target moves only its own keys.
  */
 import type { Level } from '../prefix/index.js';
 import type { Candidate as AnyCandidate } from './policy.js';
 
-/** What the hashing needs of a target. */
-export type Home = Pick<AnyCandidate, 'name' | 'capacity'>;
+/** Properties of a target that enter its score. */
+export type HashTarget = Pick<AnyCandidate, 'name' | 'capacity'>;
 
-/** Scale of a 32-bit number to (0, 1). */
+/** Scales a 32-bit number to (0, 1). */
 const UNIT = 2 ** -32;
 
 const nameHashes = new Map<string, number>();
 
-/** Names that are kept hashed; more than a service's targets ever are. */
-const MAX_NAMES = 20_000;
+/** Bound of the cache of name hashes; a service has fewer targets. */
+const MAX_CACHED_NAMES = 20_000;
 
-/** Mixes all bits of a 32-bit number (the finalizer of MurmurHash3). */
+/** The 32-bit finalizer of MurmurHash3. */
 function mix(value: number): number {
   let bits = value | 0;
   bits = Math.imul(bits ^ (bits >>> 16), 0x85ebca6b);
@@ -32,12 +32,12 @@
   for (let index = 0; index < name.length; index += 1) {
     hash = Math.imul(hash ^ name.charCodeAt(index), 0x01000193);
   }
-  if (nameHashes.size >= MAX_NAMES) nameHashes.clear();
+  if (nameHashes.size >= MAX_CACHED_NAMES) nameHashes.clear();
   nameHashes.set(name, mix(hash));
   return mix(hash);
 }
 
-/** The key of a text: two numbers of 32 bits (FNV-1a with two offsets). */
+/** 64-bit key of a text, as two 32-bit hashes in the manner of FNV-1a. */
 export function textKey(text: string): Pick<Level, 'low' | 'high'> {
   let low = 0x811c9dc5;
   let high = 0x01000193;
@@ -49,34 +49,34 @@
   return { low: low >>> 0, high: high >>> 0 };
 }
 
-/** Draw of a target for a key, 0 to 2^32: larger is nearer to the key. */
-function drawOf(low: number, high: number, candidate: Home): number {
+/** Unweighted score of a target for a key, 0 to 2^32 - 1. */
+function hashFor(low: number, high: number, candidate: HashTarget): number {
   return mix(mix(hashName(candidate.name) ^ low) ^ high);
 }
 
-/** A draw weighted by capacity. */
-function weighted(drawn: number, capacity: number): number {
+/** Score weighted by capacity. */
+function weightedScore(drawn: number, capacity: number): number {
   return -capacity / Math.log((drawn + 0.5) * UNIT);
 }
 
-/** Whether all weigh the same; then the weight, which leaves the order as it is, need not be computed. */
-function isEven(candidates: readonly Home[]): boolean {
+/** With equal capacities the weights do not change the order and need not be computed. */
+function haveEqualCapacity(candidates: readonly HashTarget[]): boolean {
   const capacity = candidates[0]?.capacity;
   return candidates.every((candidate) => candidate.capacity === capacity);
 }
 
-/** The `count` first homes of a prefix, best first. */
-export function homesOf<Candidate extends Home>(
+/** The first `count` homes of a prefix, best first. */
+export function homesOf<Candidate extends HashTarget>(
   prefix: Pick<Level, 'low' | 'high'>,
   candidates: readonly Candidate[],
   count: number,
 ): Candidate[] {
-  const even = isEven(candidates);
+  const even = haveEqualCapacity(candidates);
   const homes: { readonly candidate: Candidate; readonly score: number }[] = [];
   let least = Number.NEGATIVE_INFINITY;
   for (const candidate of candidates) {
-    const drawn = drawOf(prefix.low, prefix.high, candidate);
-    const score = even ? drawn : weighted(drawn, candidate.capacity);
+    const drawn = hashFor(prefix.low, prefix.high, candidate);
+    const score = even ? drawn : weightedScore(drawn, candidate.capacity);
     if (homes.length === count && score <= least) continue;
     const place = homes.findIndex((home) => home.score < score);
     homes.splice(place < 0 ? homes.length : place, 0, { candidate, score });
--- a/packages/routing/src/policy/roundRobin.ts
+++ b/packages/routing/src/policy/roundRobin.ts
@@ -1,11 +1,11 @@
-/** Baseline: each target in turn. */
+/** Baseline: round robin. */
 import type { Candidate, Choice, Job, Policy } from './policy.js';
 
-/** Takes targets in turn, by name, without regard to load or caches. */
+/** Takes targets in turn, without regard to load or caches. */
 export class RoundRobin implements Policy {
   private next: number;
 
-  /** @param seed where the turn starts, so that entries don't all start at one target. */
+  /** @param seed start of the rotation, so that entries don't all start at the same target. */
   constructor(seed: number) {
     this.next = Math.abs(Math.trunc(seed));
   }
@@ -17,10 +17,10 @@
   }
 
   dispatched(): void {
-    // A turn depends on nothing that happens to requests.
+    // Round robin does not depend on requests in flight.
   }
 
   settled(): void {
-    // As above.
+    // See `dispatched`.
   }
 }
--- a/packages/routing/src/policy/targetHealth.ts
+++ b/packages/routing/src/policy/targetHealth.ts
@@ -1,114 +1,116 @@
 /**
- * Targets that answer worse than they promise.
+ * Targets that perform worse than estimated.
  *
- * What goes wrong: an engine or its network gets slow or fails while its reported load looks fine, even idle,
- * for it answers nothing. Its first tokens come later than estimated, by a larger factor than its peers'. Its
- * estimates are multiplied by that factor here. The factor fades, so that the target is tried again.
+ * An engine or its network can become slow or fail while its reported load looks low, because it answers nothing. Its
+ * first tokens then arrive later than estimated, by a larger factor than at other targets. Its estimates are
+ * multiplied by this factor, which decays so that the target is tried again.
  */
 import type { Clock } from '@jasmineroute/core';
 import type { Candidate } from './policy.js';
 
-/** Weight of the newest measurement. */
-const NEWEST = 0.1;
+/** Weight of the newest measurement in the moving average. */
+const NEWEST_WEIGHT = 0.1;
 
-/** Estimates below this many milliseconds are rounding. */
-const LEAST_MS = 50;
+/** Times below this many milliseconds are rounded up to it, as their ratios would be rounding errors. */
+const MIN_MS = 50;
 
-/** A factor up to this is noise, and none above the largest is believed. */
-const NOISE = 2;
-const LARGEST = 8;
+/** Factors below the first are treated as noise; the second is the upper bound. */
+const MAX_NOISE_FACTOR = 2;
+const MAX_FACTOR = 8;
 
-/** Time in which a factor or a failure fades to 1/e. */
-const FADE_MS = 10_000;
+/** Time in which a factor or a failure decays to 1/e. */
+const DECAY_MS = 10_000;
 
-/** Milliseconds that a target is taken to be slower for each recent failure, and how many count. */
-const FAILURE_MS = 500;
-const MOST_FAILURES = 4;
+/** Penalty for each recent failure, milliseconds, and the maximum number of failures that count. */
+const FAILURE_PENALTY_MS = 500;
+const MAX_FAILURES = 4;
 
-/** Milliseconds that a target is taken to be slower for each probe in a row that it has not answered in time. */
-const SILENCE_MS = 50;
-const MOST_SILENCES = 5;
+/** Penalty for each consecutive probe timeout, milliseconds, and the maximum number of timeouts that count. */
+const PROBE_TIMEOUT_PENALTY_MS = 50;
+const MAX_PROBE_TIMEOUTS = 5;
 
-interface Record {
-  /** Logarithm of measured over estimated time. */
+interface HealthRecord {
+  /** Moving average of the logarithm of measured time over estimated time. */
   slowness: number;
   failures: number;
-  at: number;
+  updatedAt: number;
 }
 
-/** Slowness and failures by target. */
+/** Slowness, failures and probe timeouts by target. */
 export class TargetHealth {
-  private readonly records = new Map<string, Record>();
-  /** Probes in a row without an answer, by target. */
-  private readonly silences = new Map<string, number>();
+  private readonly records = new Map<string, HealthRecord>();
+  /** Consecutive probe timeouts by target. */
+  private readonly probeTimeouts = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** A first token came. */
-  measured(candidate: Candidate, firstTokenMs: number, estimateMs: number): void {
-    const record = this.faded(candidate);
-    const sample = Math.log(Math.max(LEAST_MS, firstTokenMs) / Math.max(LEAST_MS, estimateMs));
-    record.slowness += NEWEST * (sample - record.slowness);
+  /** Records the time to first token of a request. */
+  recordFirstToken(candidate: Candidate, firstTokenMs: number, estimateMs: number): void {
+    const record = this.decayed(candidate);
+    const sample = Math.log(Math.max(MIN_MS, firstTokenMs) / Math.max(MIN_MS, estimateMs));
+    record.slowness += NEWEST_WEIGHT * (sample - record.slowness);
   }
 
-  /** A request to the target failed. */
-  failed(candidate: Candidate): void {
-    const record = this.faded(candidate);
-    record.failures = Math.min(MOST_FAILURES, record.failures + 1);
+  /** Records a failed request. */
+  recordFailure(candidate: Candidate): void {
+    const record = this.decayed(candidate);
+    record.failures = Math.min(MAX_FAILURES, record.failures + 1);
   }
 
-  /** The target has not answered a probe in time. */
-  silent(candidate: Candidate): void {
-    const count = (this.silences.get(candidate.name) ?? 0) + 1;
-    this.silences.set(candidate.name, Math.min(MOST_SILENCES, count));
+  /** Records a probe that timed out. */
+  recordProbeTimeout(candidate: Candidate): void {
+    const count = (this.probeTimeouts.get(candidate.name) ?? 0) + 1;
+    this.probeTimeouts.set(candidate.name, Math.min(MAX_PROBE_TIMEOUTS, count));
   }
 
-  /** The target has answered a probe. */
-  heard(candidate: Candidate): void {
-    this.silences.delete(candidate.name);
+  /** Records an answered probe. */
+  recordProbeAnswer(candidate: Candidate): void {
+    this.probeTimeouts.delete(candidate.name);
   }
 
-  /** The target was replaced or has gone. */
+  /** Removes a target that was replaced. */
   forget(candidate: Candidate): void {
     this.records.delete(candidate.name);
-    this.silences.delete(candidate.name);
+    this.probeTimeouts.delete(candidate.name);
   }
 
-  /** What to multiply an estimate by, from 1. */
+  /** Factor for the estimates of a target, at least 1. */
   factor(candidate: Candidate): number {
     const record = this.records.get(candidate.name);
     if (record === undefined) return 1;
-    const factor = Math.exp((record.slowness - this.usual()) * this.left(record));
-    return factor < NOISE ? 1 : Math.min(LARGEST, factor);
+    const factor = Math.exp((record.slowness - this.medianSlowness()) * this.decayFactor(record));
+    return factor < MAX_NOISE_FACTOR ? 1 : Math.min(MAX_FACTOR, factor);
   }
 
-  /** Milliseconds to add to an estimate for recent failures and silence. */
+  /** Milliseconds to add to an estimate for recent failures and probe timeouts. */
   penaltyMs(candidate: Candidate): number {
     const record = this.records.get(candidate.name);
-    const failures = record === undefined ? 0 : record.failures * this.left(record);
-    return FAILURE_MS * failures + SILENCE_MS * (this.silences.get(candidate.name) ?? 0);
+    const failures = record === undefined ? 0 : record.failures * this.decayFactor(record);
+    return (
+      FAILURE_PENALTY_MS * failures + PROBE_TIMEOUT_PENALTY_MS * (this.probeTimeouts.get(candidate.name) ?? 0)
+    );
   }
 
   /**
-   * Median slowness of all targets: a fault of the estimate that all share is nobody's slowness. Without a peer
-   * to compare with, estimates are taken to be right, so that a peer is tried.
+   * Median slowness of all targets: an error of the estimate that affects all targets makes none of them slow. With
+   * fewer than two targets to compare, estimates are assumed to be correct, so that another target is tried.
    */
-  private usual(): number {
+  private medianSlowness(): number {
     if (this.records.size < 2) return 0;
     const all = [...this.records.values()].map((record) => record.slowness).sort((a, b) => a - b);
     return all[Math.floor((all.length - 1) / 2)] ?? 0;
   }
 
-  private faded(candidate: Candidate): Record {
+  private decayed(candidate: Candidate): HealthRecord {
     const now = this.clock.monotonic();
-    const known = this.records.get(candidate.name) ?? { slowness: 0, failures: 0, at: now };
-    const left = this.left(known);
-    const record = { slowness: known.slowness * left, failures: known.failures * left, at: now };
+    const known = this.records.get(candidate.name) ?? { slowness: 0, failures: 0, updatedAt: now };
+    const factor = this.decayFactor(known);
+    const record = { slowness: known.slowness * factor, failures: known.failures * factor, updatedAt: now };
     this.records.set(candidate.name, record);
     return record;
   }
 
-  private left(record: Record): number {
-    return Math.exp((record.at - this.clock.monotonic()) / FADE_MS);
+  private decayFactor(record: HealthRecord): number {
+    return Math.exp((record.updatedAt - this.clock.monotonic()) / DECAY_MS);
   }
 }
