--- a/packages/routing/src/admission/admission.ts
+++ b/packages/routing/src/admission/admission.ts
@@ -1,145 +1,146 @@
-/** Whether, and when, a request may go out: limits, then a queue that is fair, then a free place. */
+/** Admission control: customer limits, then a fair queue, then the concurrency window. */
 import { fault } from '@jasmineroute/core';
 import type { Cancellation, Clock, Fault } from '@jasmineroute/core';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { FairQueue } from '../fairness/index.js';
-import type { Queued } from '../fairness/index.js';
+import type { QueueItem } from '../fairness/index.js';
 import { CustomerLimits } from '../limit/index.js';
 import type { AdmissionRules, CustomerRules } from '../limit/index.js';
 import type { Load } from '../policy/index.js';
-import { Window } from './window.js';
+import { ConcurrencyWindow } from './window.js';
 
-/** A request that asks to be let in. */
+/** A request for admission. */
 export interface Demand {
   readonly customer: string;
-  /** Larger goes first. */
+  /** Higher priorities are served first. */
   readonly priority: number;
   /** Milliseconds until the caller's deadline. */
   readonly deadlineMs: number;
-  /** Work of the request for the fair share, in prompt tokens. */
+  /** Cost of the request in fair queueing, in prompt tokens. */
   readonly promptTokens: number;
-  /** The caller went away. */
+  /** Aborted when the caller disconnects. */
   readonly signal?: AbortSignal;
 }
 
-/** The right to send one request out. */
+/** Permission to send one request to a target. */
 export interface Permit {
-  /** Milliseconds spent waiting. */
+  /** Milliseconds spent in the queue. */
   readonly waitedMs: number;
-  /** The request has ended, in whatever way. Calling it twice changes nothing. */
+  /** To be called when the request has ended. Repeated calls have no effect. */
   release(): void;
 }
 
-/** What admission is made with. */
+/** Dependencies of admission control. */
 export interface AdmissionOptions {
   readonly clock: Clock;
-  /** Rules in force now; read for each request, so that a changed document needs no call. */
+  /** Current rules; read for each request, so that changes of the document take effect at once. */
   readonly rules: () => AdmissionRules;
 }
 
-/** A request that waits, and how to tell it. */
-interface Waiter extends Queued {
-  readonly demand: Demand;
+/** A queued request and the callback for its result. */
+interface QueuedRequest extends QueueItem {
+  readonly request: Demand;
   readonly arrivedAt: number;
-  readonly answer: (result: Result<Permit, Fault>) => void;
+  readonly resolve: (result: Result<Permit, Fault>) => void;
 }
 
-const NO_RULES: CustomerRules = { share: 1 };
+const DEFAULT_RULES: CustomerRules = { share: 1 };
 
-/** Weight of the newest interval between two requests that end. */
-const NEWEST = 0.1;
+/** Weight of the newest sample in the mean interval between completions. */
+const NEWEST_WEIGHT = 0.1;
 
-/** When callers may come back after the queue was full and no speed is known, milliseconds. */
+/** Minimum retry delay suggested to callers when the queue is full, milliseconds. */
 const RETRY_AFTER_MS = 1_000;
 
-/** Admission of one service at one entry. All refusals are of requests that have not run. */
+/** Admission control of one service at one entry. Refused requests have not run. */
 export class Admission {
   private readonly limits: CustomerLimits;
-  private readonly queue = new FairQueue<Waiter>();
-  private readonly window = new Window();
-  private out = 0;
+  private readonly queue = new FairQueue<QueuedRequest>();
+  private readonly window = new ConcurrencyWindow();
+  private inFlight = 0;
   private lastEnd = 0;
-  /** Mean milliseconds between two requests that end; 0: not known. */
+  /** Mean milliseconds between two completions while requests are queued; 0 if unknown. */
   private intervalMs = 0;
 
   constructor(private readonly options: AdmissionOptions) {
     this.limits = new CustomerLimits(options.clock);
   }
 
-  /** Requests that wait here. */
+  /** Number of queued requests. */
   get waiting(): number {
     return this.queue.size;
   }
 
-  /** Requests that have a permit. */
+  /** Number of requests with a permit. */
   get running(): number {
-    return this.out;
+    return this.inFlight;
   }
 
-  /** Resolves when the request may go out, or with a refusal: at once, or when its deadline has passed. */
-  admit(demand: Demand): Promise<Result<Permit, Fault>> {
-    if (demand.signal?.aborted === true) return Promise.resolve(err(cancelled()));
+  /** Resolves with a permit, or with a fault when the request is refused at once or its deadline passes in the queue. */
+  admit(request: Demand): Promise<Result<Permit, Fault>> {
+    if (request.signal?.aborted === true) return Promise.resolve(err(cancelled()));
     const rules = this.options.rules();
-    const customer = rules.customers.get(demand.customer) ?? NO_RULES;
-    const refusal = this.limits.enter(demand.customer, customer, rules.liveEntries);
+    const customer = rules.customers.get(request.customer) ?? DEFAULT_RULES;
+    const refusal = this.limits.acquire(request.customer, customer, rules.liveEntries);
     if (refusal !== undefined) return Promise.resolve(err(refusal));
-    if (this.queue.size === 0 && this.hasRoom(rules)) return Promise.resolve(ok(this.permit(demand, 0)));
-    const waitMs = this.expectedWaitMs(demand.priority);
-    if (waitMs > demand.deadlineMs) {
-      this.limits.undo(demand.customer);
-      return Promise.resolve(err(unmeetable(waitMs, demand.deadlineMs)));
+    if (this.queue.size === 0 && this.hasRoom(rules))
+      return Promise.resolve(ok(this.issuePermit(request, 0)));
+    const waitMs = this.expectedWaitMs(request.priority);
+    if (waitMs > request.deadlineMs) {
+      this.limits.refund(request.customer);
+      return Promise.resolve(err(deadlineUnmeetable(waitMs, request.deadlineMs)));
     }
-    return this.enqueue(demand, customer.share, rules.queue);
+    return this.enqueue(request, customer.share, rules.queue);
   }
 
-  /** A target has told its load: the entry may have more requests out while others use less than their part. */
+  /** Adjusts the window to the load that a target reported. */
   observe(load: Load): void {
     this.window.observe(load, this.queue.size > 0);
-    this.next();
+    this.admitQueued();
   }
 
-  /** Rules or targets have changed: lets in what has room now. */
+  /** Admits queued requests after a change of rules or targets. */
   refresh(): void {
-    this.next();
+    this.admitQueued();
   }
 
-  /** Expected milliseconds until a new request of a priority goes out; 0 while no speed is known. */
+  /** Expected queueing time of a new request of a priority, milliseconds; 0 while the completion rate is unknown. */
   expectedWaitMs(priority: number): number {
-    return (this.queue.ahead(priority) + 1) * this.intervalMs;
+    return (this.queue.countAhead(priority) + 1) * this.intervalMs;
   }
 
-  private enqueue(demand: Demand, share: number, capacity: number): Promise<Result<Permit, Fault>> {
+  private enqueue(request: Demand, share: number, capacity: number): Promise<Result<Permit, Fault>> {
     return new Promise((resolve) => {
-      const waiter: Waiter = {
-        customer: demand.customer,
-        priority: demand.priority,
+      const queued: QueuedRequest = {
+        customer: request.customer,
+        priority: request.priority,
         share,
-        cost: Math.max(1, demand.promptTokens),
-        demand,
+        cost: Math.max(1, request.promptTokens),
+        request,
         arrivedAt: this.options.clock.monotonic(),
-        answer: (result) => {
+        resolve: (result) => {
           stopWatching();
           resolve(result);
         },
       };
-      const stopWatching = this.watch(waiter);
-      const givenUp = this.queue.push(waiter, capacity);
-      if (givenUp !== undefined) this.refuse(givenUp, this.full());
-      this.next();
+      const stopWatching = this.watch(queued);
+      const dropped = this.queue.push(queued, capacity);
+      if (dropped !== undefined) this.refuse(dropped, this.queueFull());
+      this.admitQueued();
     });
   }
 
-  /** Refuses a waiter when its deadline passes or its caller goes away. */
-  private watch(waiter: Waiter): Cancellation {
-    const { deadlineMs, signal } = waiter.demand;
+  /** Refuses a queued request when its deadline passes or its caller disconnects. */
+  private watch(queued: QueuedRequest): Cancellation {
+    const { deadlineMs, signal } = queued.request;
     const onAbort = (): void => {
-      if (this.queue.remove(waiter)) this.refuse(waiter, cancelled());
+      if (this.queue.remove(queued)) this.refuse(queued, cancelled());
     };
     signal?.addEventListener('abort', onAbort, { once: true });
     const cancelTimer = this.options.clock.after(deadlineMs, () => {
-      if (this.queue.remove(waiter))
-        this.refuse(waiter, unmeetable(deadlineMs + this.intervalMs, deadlineMs));
+      if (this.queue.remove(queued))
+        this.refuse(queued, deadlineUnmeetable(deadlineMs + this.intervalMs, deadlineMs));
     });
     return () => {
       cancelTimer();
@@ -147,64 +148,64 @@
     };
   }
 
-  /** Lets in as many as there is room for. */
-  private next(): void {
+  /** Admits queued requests while the window has room. */
+  private admitQueued(): void {
     const rules = this.options.rules();
     while (this.hasRoom(rules)) {
-      const waiter = this.queue.shift();
-      if (waiter === undefined) return;
-      const waitedMs = this.options.clock.monotonic() - waiter.arrivedAt;
-      waiter.answer(ok(this.permit(waiter.demand, waitedMs)));
+      const queued = this.queue.shift();
+      if (queued === undefined) return;
+      const waitedMs = this.options.clock.monotonic() - queued.arrivedAt;
+      queued.resolve(ok(this.issuePermit(queued.request, waitedMs)));
     }
   }
 
   private hasRoom(rules: AdmissionRules): boolean {
-    return this.out < this.window.size(rules.capacity, rules.liveEntries);
+    return this.inFlight < this.window.size(rules.capacity, rules.liveEntries);
   }
 
-  private refuse(waiter: Waiter, refusal: Fault): void {
-    this.limits.undo(waiter.customer);
-    waiter.answer(err(refusal));
+  private refuse(queued: QueuedRequest, refusal: Fault): void {
+    this.limits.refund(queued.customer);
+    queued.resolve(err(refusal));
   }
 
-  private permit(demand: Demand, waitedMs: number): Permit {
-    this.out += 1;
+  private issuePermit(request: Demand, waitedMs: number): Permit {
+    this.inFlight += 1;
     let held = true;
     return {
       waitedMs,
       release: () => {
         if (!held) return;
         held = false;
-        this.out -= 1;
-        this.limits.leave(demand.customer);
-        this.measure();
-        this.next();
+        this.inFlight -= 1;
+        this.limits.release(request.customer);
+        this.measureInterval();
+        this.admitQueued();
       },
     };
   }
 
-  /** Measures how fast requests end, while some wait: else the interval says how fast they come. */
-  private measure(): void {
+  /** Updates the mean interval between completions, only while requests are queued: otherwise it would be the arrival rate. */
+  private measureInterval(): void {
     const now = this.options.clock.monotonic();
     const interval = now - this.lastEnd;
     this.lastEnd = now;
     if (this.queue.size === 0) return;
     this.intervalMs =
-      this.intervalMs === 0 ? interval : this.intervalMs + NEWEST * (interval - this.intervalMs);
+      this.intervalMs === 0 ? interval : this.intervalMs + NEWEST_WEIGHT * (interval - this.intervalMs);
   }
 
-  private full(): Fault {
+  private queueFull(): Fault {
     const retryAfterMs = Math.max(RETRY_AFTER_MS, this.queue.size * this.intervalMs);
-    return fault('overloaded', 'the queue of the service is full', { retryAfterMs });
+    return fault('overloaded', 'the request queue of the service is full', { retryAfterMs });
   }
 }
 
-function unmeetable(waitMs: number, deadlineMs: number): Fault {
+function deadlineUnmeetable(waitMs: number, deadlineMs: number): Fault {
   const retryAfterMs = Math.max(1, Math.ceil(waitMs - deadlineMs));
-  const message = `the request would wait ${Math.round(waitMs)} ms, and its deadline is in ${Math.round(deadlineMs)} ms`;
+  const message = `expected queueing time of ${Math.round(waitMs)} ms exceeds the deadline in ${Math.round(deadlineMs)} ms`;
   return fault('deadline-unmeetable', message, { retryAfterMs });
 }
 
 function cancelled(): Fault {
-  return fault('cancelled', 'the caller went away before the request was sent');
+  return fault('cancelled', 'the caller disconnected before the request was sent');
 }
--- a/packages/routing/src/admission/window.ts
+++ b/packages/routing/src/admission/window.ts
@@ -1,36 +1,35 @@
 /**
- * How many requests one entry may have at the targets.
+ * Number of requests that one entry may have in flight at the targets.
  *
- * What goes wrong: requests that wait at engines can be neither reordered nor refused cheaply, and by the time
- * they start, the prefix that they were sent there for has been evicted. Long queues at targets and a hit rate
- * that falls with load show it. So requests wait at the entry, in a fair queue, and no more go out than the
- * targets have places for: this entry's part of them and a little more, and as many as there is room for when
- * other entries use less than theirs.
+ * Requests queued at engines can be neither reordered nor refused cheaply, and their prefix may be evicted before they
+ * start, which shows as long queues at targets and a hit rate that falls with load. Requests therefore wait in a fair
+ * queue at the entry. The window is this entry's share of the targets' capacity plus a small overcommit, and grows
+ * while other entries use less than their share.
  */
 import type { Load } from '../policy/index.js';
 
-/** Requests at the targets for each place: engines that end one should find the next at hand. */
+/** In-flight requests per slot at the targets, so that an engine that completes a request has the next one queued. */
 const OVERCOMMIT = 1.25;
 
-/** Least window, so that an entry among many still works. */
-const LEAST = 2;
+/** Minimum window, for deployments with many entries. */
+const MIN_WINDOW = 2;
 
-/** How much of the window goes when a target's queue is found filled. */
-const BACK_OFF = 0.97;
+/** Factor applied to the growth of the window when a target reports queued requests. */
+const DECREASE_FACTOR = 0.97;
 
-/** Additive increase and multiplicative decrease between the entry's part and the whole. */
-export class Window {
+/** Additive increase and multiplicative decrease between the entry's share and the whole capacity. */
+export class ConcurrencyWindow {
   private extra = 0;
 
-  /** Requests that may be out now. */
+  /** Maximum number of in-flight requests. */
   size(capacity: number, entries: number): number {
-    const part = (OVERCOMMIT * capacity) / Math.max(1, entries);
-    return Math.max(LEAST, Math.min(Math.ceil(part + this.extra), Math.ceil(OVERCOMMIT * capacity)));
+    const share = (OVERCOMMIT * capacity) / Math.max(1, entries);
+    return Math.max(MIN_WINDOW, Math.min(Math.ceil(share + this.extra), Math.ceil(OVERCOMMIT * capacity)));
   }
 
-  /** A target has told its load. @param wanting whether requests wait here for the window. */
-  observe(load: Load, wanting: boolean): void {
-    if (load.queued > 0) this.extra *= BACK_OFF;
-    else if (wanting && load.running < load.capacity) this.extra += 1;
+  /** Adjusts the window to the load of a target. @param hasWaiting whether requests are queued at this entry. */
+  observe(load: Load, hasWaiting: boolean): void {
+    if (load.queued > 0) this.extra *= DECREASE_FACTOR;
+    else if (hasWaiting && load.running < load.capacity) this.extra += 1;
   }
 }
--- a/packages/routing/src/fairness/fairQueue.spec.ts
+++ b/packages/routing/src/fairness/fairQueue.spec.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest';
 import fc from 'fast-check';
 import { FairQueue } from './fairQueue.js';
-import type { Queued } from './fairQueue.js';
+import type { QueueItem } from './fairQueue.js';
 
-interface Request extends Queued {
+interface Request extends QueueItem {
   readonly id: number;
 }
 
@@ -23,9 +23,8 @@
 }
 
 describe('FairQueue', () => {
-  it('lets a flood wait behind itself', () => {
-    // Symptom: one customer's batch makes all others wait. Sequence: it sends 50 requests, another one sends 1.
-    // Cause: first come, first served.
+  it('delays only the customer that sends a burst', () => {
+    // A FIFO queue would serve all 50 requests of one customer before the 1 request of another.
     const queue = new FairQueue<Request>();
     for (let id = 0; id < 50; id += 1) queue.push(request(id, 'festival'), 100);
     queue.push(request(99, 'house-a'), 100);
@@ -42,7 +41,7 @@
     expect(first.filter(({ customer }) => customer === 'large')).toHaveLength(15);
   });
 
-  it('gives up the last request of the flood when full, not that of whoever comes', () => {
+  it('drops the last request of the customer with the largest backlog when full, not the newest request', () => {
     const queue = new FairQueue<Request>();
     expect(queue.push(request(98, 'house-b'), 11)).toBeUndefined();
     for (let id = 0; id < 10; id += 1) expect(queue.push(request(id, 'festival'), 11)).toBeUndefined();
@@ -51,14 +50,14 @@
     expect(queue.size).toBe(11);
   });
 
-  it('gives up a request of the lowest class first', () => {
+  it('drops a request of the lowest class first', () => {
     const queue = new FairQueue<Request>();
     queue.push(request(1, 'members', { priority: 20 }), 1);
     expect(queue.push(request(2, 'members', { priority: 80 }), 1)?.id).toBe(1);
     expect(queue.push(request(3, 'members', { priority: 20 }), 1)?.id).toBe(3);
   });
 
-  it('loses and repeats nothing, keeps classes apart and each customer in order', () => {
+  it('serves each request once, by class and in the order of each customer', () => {
     const arrival = fc.record({
       customer: fc.constantFrom('a', 'b', 'c'),
       priority: fc.constantFrom(20, 50, 80),
--- a/packages/routing/src/fairness/fairQueue.ts
+++ b/packages/routing/src/fairness/fairQueue.ts
@@ -1,42 +1,42 @@
 /**
- * Bounded queue: priority classes first, and a fair share among the customers of a class.
+ * Bounded queue with priority classes and fair queueing among the customers of a class.
  *
- * What goes wrong: one customer sends a flood, its requests fill the queue, and the others' wait behind it or
- * are refused. Waiting times by customer show it. Here each customer's requests are ordered by start-time fair
- * queueing, so that a flood waits behind itself, and a full queue gives up the flood's last request.
+ * In a plain FIFO queue, a burst of one customer fills the queue, and requests of other customers wait behind it or
+ * are refused, which shows in the waiting times by customer. Start-time fair queueing delays only the customer that
+ * sends the burst, and a full queue drops the last request of that customer.
  */
 
-/** A request that waits. */
-export interface Queued {
+/** A queued request. */
+export interface QueueItem {
   readonly customer: string;
-  /** Larger goes first, always. */
+  /** Higher priorities are always served first. */
   readonly priority: number;
-  /** Weight of the customer's share within its class. */
+  /** Weight of the customer within its priority class. */
   readonly share: number;
-  /** Work, in any one unit. */
+  /** Work of the request, in any unit that all requests use. */
   readonly cost: number;
 }
 
-/** One customer's requests in a class, in order of arrival. */
-interface Line<Item> {
+/** Requests of one customer in a priority class, in order of arrival. */
+interface CustomerQueue<Item> {
   readonly waiting: { readonly item: Item; readonly start: number; readonly finish: number }[];
-  /** Virtual time at which the customer's last request finishes. */
+  /** Virtual finish time of the customer's last request. */
   finish: number;
-  /** Work that waits over the customer's share. */
+  /** Queued work divided by the customer's share. */
   backlog: number;
 }
 
 /** One priority class. */
 interface PriorityClass<Item> {
-  readonly lines: Map<string, Line<Item>>;
-  /** Start of the request that was taken last. */
+  readonly customers: Map<string, CustomerQueue<Item>>;
+  /** Virtual start time of the request that was taken last. */
   virtualTime: number;
-  size: number;
+  count: number;
 }
 
-/** Requests that wait at one entry for one service. */
-export class FairQueue<Item extends Queued> {
-  /** By priority. */
+/** Requests queued at one entry for one service. */
+export class FairQueue<Item extends QueueItem> {
+  /** Classes by priority. */
   private readonly classes = new Map<number, PriorityClass<Item>>();
   private count = 0;
 
@@ -44,76 +44,78 @@
     return this.count;
   }
 
-  /** Requests that go before a new one of this priority, at most. */
-  ahead(priority: number): number {
+  /** Maximum number of queued requests that are served before a new one of this priority. */
+  countAhead(priority: number): number {
     let ahead = 0;
-    for (const [level, { size }] of this.classes) if (level >= priority) ahead += size;
+    for (const [level, { count }] of this.classes) if (level >= priority) ahead += count;
     return ahead;
   }
 
   /**
    * Adds a request.
-   * @param capacity most requests that may wait.
-   * @returns the request that is given up for it when the queue is full, which may be the new one itself.
+   * @param capacity maximum number of queued requests.
+   * @returns the request that was dropped because the queue was full, which may be the new one; otherwise undefined.
    */
   push(item: Item, capacity: number): Item | undefined {
     this.append(item);
     if (this.count <= capacity) return undefined;
-    return this.giveUp();
+    return this.drop();
   }
 
-  /** Takes the next request. */
+  /** Removes and returns the next request. */
   shift(): Item | undefined {
-    const level = this.level(Math.max);
-    const queue = level === undefined ? undefined : this.classes.get(level);
-    if (queue === undefined) return undefined;
-    let next: Line<Item> | undefined;
-    for (const line of queue.lines.values()) {
-      const start = line.waiting[0]?.start;
-      if (start !== undefined && start < (next?.waiting[0]?.start ?? Number.POSITIVE_INFINITY)) next = line;
+    const level = this.findClass(Math.max);
+    const priorityClass = level === undefined ? undefined : this.classes.get(level);
+    if (priorityClass === undefined) return undefined;
+    let next: CustomerQueue<Item> | undefined;
+    for (const customerQueue of priorityClass.customers.values()) {
+      const start = customerQueue.waiting[0]?.start;
+      if (start !== undefined && start < (next?.waiting[0]?.start ?? Number.POSITIVE_INFINITY))
+        next = customerQueue;
     }
     const first = next?.waiting[0];
     if (first === undefined) return undefined;
-    queue.virtualTime = first.start;
+    priorityClass.virtualTime = first.start;
     this.remove(first.item);
     return first.item;
   }
 
-  /** Takes a request out. @returns false when it does not wait here. */
+  /** Removes a request. @returns false when it is not in the queue. */
   remove(item: Item): boolean {
-    const queue = this.classes.get(item.priority);
-    const line = queue?.lines.get(item.customer);
-    const place = line?.waiting.findIndex((waiting) => waiting.item === item) ?? -1;
-    if (queue === undefined || line === undefined || place < 0) return false;
-    line.waiting.splice(place, 1);
-    line.backlog -= item.cost / item.share;
-    queue.size -= 1;
+    const priorityClass = this.classes.get(item.priority);
+    const customerQueue = priorityClass?.customers.get(item.customer);
+    const place = customerQueue?.waiting.findIndex((waiting) => waiting.item === item) ?? -1;
+    if (priorityClass === undefined || customerQueue === undefined || place < 0) return false;
+    customerQueue.waiting.splice(place, 1);
+    customerQueue.backlog -= item.cost / item.share;
+    priorityClass.count -= 1;
     this.count -= 1;
-    this.forgetIdle(item.priority, queue);
+    this.removeIdle(item.priority, priorityClass);
     return true;
   }
 
   private append(item: Item): void {
-    const queue = this.classes.get(item.priority) ?? emptyClass<Item>();
-    const line = queue.lines.get(item.customer) ?? emptyLine<Item>();
+    const priorityClass = this.classes.get(item.priority) ?? emptyClass<Item>();
+    const customerQueue = priorityClass.customers.get(item.customer) ?? emptyCustomerQueue<Item>();
     const work = item.cost / item.share;
-    const start = Math.max(queue.virtualTime, line.finish);
-    line.finish = start + work;
-    line.backlog += work;
-    line.waiting.push({ item, start, finish: line.finish });
-    queue.lines.set(item.customer, line);
-    queue.size += 1;
-    this.classes.set(item.priority, queue);
+    const start = Math.max(priorityClass.virtualTime, customerQueue.finish);
+    customerQueue.finish = start + work;
+    customerQueue.backlog += work;
+    customerQueue.waiting.push({ item, start, finish: customerQueue.finish });
+    priorityClass.customers.set(item.customer, customerQueue);
+    priorityClass.count += 1;
+    this.classes.set(item.priority, priorityClass);
     this.count += 1;
   }
 
-  /** Gives up the last request of the customer with the most work for its share, in the lowest class. */
-  private giveUp(): Item | undefined {
-    const level = this.level(Math.min);
-    const queue = level === undefined ? undefined : this.classes.get(level);
-    let longest: Line<Item> | undefined;
-    for (const line of queue?.lines.values() ?? []) {
-      if (line.waiting.length > 0 && line.backlog >= (longest?.backlog ?? 0)) longest = line;
+  /** Drops the last request of the customer with the largest backlog, in the lowest class. */
+  private drop(): Item | undefined {
+    const level = this.findClass(Math.min);
+    const priorityClass = level === undefined ? undefined : this.classes.get(level);
+    let longest: CustomerQueue<Item> | undefined;
+    for (const customerQueue of priorityClass?.customers.values() ?? []) {
+      if (customerQueue.waiting.length > 0 && customerQueue.backlog >= (longest?.backlog ?? 0))
+        longest = customerQueue;
     }
     const last = longest?.waiting.at(-1);
     if (longest === undefined || last === undefined) return undefined;
@@ -122,31 +124,32 @@
     return last.item;
   }
 
-  /** Highest or lowest class with requests. */
-  private level(better: (a: number, b: number) => number): number | undefined {
+  /** Priority of the highest or lowest class with requests. */
+  private findClass(better: (a: number, b: number) => number): number | undefined {
     let found: number | undefined;
-    for (const [level, { size }] of this.classes) {
-      if (size > 0) found = found === undefined ? level : better(found, level);
+    for (const [level, { count }] of this.classes) {
+      if (count > 0) found = found === undefined ? level : better(found, level);
     }
     return found;
   }
 
-  /** Customers whose work is done carry nothing over; a class without requests starts anew. */
-  private forgetIdle(level: number, queue: PriorityClass<Item>): void {
-    if (queue.size === 0) {
+  /** Removes customers whose virtual time has passed, and classes without requests. */
+  private removeIdle(level: number, priorityClass: PriorityClass<Item>): void {
+    if (priorityClass.count === 0) {
       this.classes.delete(level);
       return;
     }
-    for (const [customer, line] of queue.lines) {
-      if (line.waiting.length === 0 && line.finish <= queue.virtualTime) queue.lines.delete(customer);
+    for (const [customer, customerQueue] of priorityClass.customers) {
+      if (customerQueue.waiting.length === 0 && customerQueue.finish <= priorityClass.virtualTime)
+        priorityClass.customers.delete(customer);
     }
   }
 }
 
 function emptyClass<Item>(): PriorityClass<Item> {
-  return { lines: new Map(), virtualTime: 0, size: 0 };
+  return { customers: new Map(), virtualTime: 0, count: 0 };
 }
 
-function emptyLine<Item>(): Line<Item> {
+function emptyCustomerQueue<Item>(): CustomerQueue<Item> {
   return { waiting: [], finish: 0, backlog: 0 };
 }
--- a/packages/routing/src/limit/rules.ts
+++ b/packages/routing/src/limit/rules.ts
@@ -1,29 +1,29 @@
-/** What a service's document allows its customers, as an entry enforces it. */
+/** Limits from a service's document, as enforced by an entry. */
 
-/** Limits and weight of one customer, over all entries. */
+/** Limits and weight of one customer, for all entries together. */
 export interface CustomerRules {
   readonly requestsPerSecond?: number;
   readonly burst?: number;
   readonly concurrency?: number;
-  /** Weight of the fair share. */
+  /** Weight in fair queueing. */
   readonly share: number;
 }
 
 /** Rules of one service at one entry. */
 export interface AdmissionRules {
   readonly customers: ReadonlyMap<string, CustomerRules>;
-  /** Requests that may wait at this entry. */
+  /** Maximum number of queued requests at this entry. */
   readonly queue: number;
-  /** Requests that all targets run at once, over all entries. */
+  /** Requests that all targets together run at once, from all entries. */
   readonly capacity: number;
-  /** Entries that serve now, this one included. */
+  /** Number of live entries, including this one. */
   readonly liveEntries: number;
 }
 
 /**
- * This entry's part of a whole number that all entries share. Rounded down, so that all parts together stay
- * within the whole, but at least 1: with fewer than one for each entry, the parts may exceed the whole.
+ * This entry's share of a limit that applies to all entries. Rounded down, so that the shares add up to no more than
+ * the limit, but at least 1: with a limit below the number of entries, the sum of the shares may exceed it.
  */
-export function wholePart(whole: number, entries: number): number {
-  return Math.max(1, Math.floor(whole / Math.max(1, entries)));
+export function shareOf(limit: number, entries: number): number {
+  return Math.max(1, Math.floor(limit / Math.max(1, entries)));
 }
--- a/packages/routing/src/limit/tokenBucket.ts
+++ b/packages/routing/src/limit/tokenBucket.ts
@@ -1,10 +1,10 @@
-/** Token bucket on a clock that is passed in. */
+/** Token bucket. */
 import type { Clock } from '@jasmineroute/core';
 
-/** Allows `rate` takings a second on average and `burst` at once. */
+/** Allows `rate` tokens per second on average and `burst` at once. */
 export class TokenBucket {
   private tokens: number;
-  private last: number;
+  private refilledAt: number;
 
   constructor(
     private readonly clock: Clock,
@@ -12,10 +12,10 @@
     private burst: number,
   ) {
     this.tokens = burst;
-    this.last = clock.monotonic();
+    this.refilledAt = clock.monotonic();
   }
 
-  /** Takes up new limits; what is in the bucket stays, up to the new burst. */
+  /** Applies new limits. The tokens in the bucket stay, up to the new burst. */
   resize(rate: number, burst: number): void {
     this.refill();
     this.rate = rate;
@@ -23,7 +23,7 @@
     this.tokens = Math.min(this.tokens, burst);
   }
 
-  /** Takes one. @returns 0, or the milliseconds until one will be there; then nothing is taken. */
+  /** Takes a token. @returns 0, or the milliseconds until one is available; then none is taken. */
   take(): number {
     this.refill();
     if (this.tokens < 1) return Math.max(1, Math.ceil(((1 - this.tokens) / this.rate) * 1_000));
@@ -31,14 +31,14 @@
     return 0;
   }
 
-  /** Puts one back that was not used. */
-  giveBack(): void {
+  /** Returns a token that was not used. */
+  refund(): void {
     this.tokens = Math.min(this.burst, this.tokens + 1);
   }
 
   private refill(): void {
     const now = this.clock.monotonic();
-    this.tokens = Math.min(this.burst, this.tokens + ((now - this.last) * this.rate) / 1_000);
-    this.last = now;
+    this.tokens = Math.min(this.burst, this.tokens + ((now - this.refilledAt) * this.rate) / 1_000);
+    this.refilledAt = now;
   }
 }
