--- a/packages/routing/src/blockIndex/blockIndex.spec.ts
+++ b/packages/routing/src/blockIndex/blockIndex.spec.ts
@@ -7,7 +7,7 @@
 
 const CUSTOMER = 'members';
 
-/** A prompt whose block `n` is filled with the letter at `n`. */
+/** A prompt whose block `n` is filled with the letter at index `n`. */
 function promptOf(letters: string): Uint8Array {
   return new TextEncoder().encode(Array.from(letters, (letter) => letter.repeat(BLOCK_BYTES)).join(''));
 }
@@ -21,7 +21,7 @@
   readonly parent?: string;
 }
 
-/** The engine names a block after the letters up to it. */
+/** A stored event. The engine's hash of a block is the customer and the letters up to it. */
 function stored(sequence: number, letters: string, place: Place = {}): StoredBlocks {
   const { incarnation = 'one', customer = CUSTOMER, parent = '' } = place;
   const bytes = promptOf(letters.slice(parent.length));
@@ -69,24 +69,24 @@
     expect(index.longestPrefix(chainOf('zabc'))).toBe(0);
   });
 
-  it('ends a prefix at the first block that was removed', () => {
+  it('ends a prefix at the first removed block', () => {
     const index = indexOf(stored(1, 'abcd'), removed(2, 'ab'));
     expect(index.longestPrefix(chainOf('abcd'))).toBe(1);
     expect(index.counts().blocks).toBe(3);
   });
 
   it('never finds blocks of another customer', () => {
-    // Symptom: a customer is promised cached work that the engine computes anew, or learns that another one has
-    // sent the same text. Sequence: two customers send the same prompt. Cause: blocks told apart by text alone.
+    // Two customers send the same prompt. If blocks were identified by their text alone, the blocks of one customer
+    // would count as cached for the other, although the engine computes them anew, and would reveal that another
+    // customer has sent the same text.
     const index = indexOf(stored(1, 'abc', { customer: 'festival' }));
     expect(index.longestPrefix(chainOf('abc', 'festival'))).toBe(3);
     expect(index.longestPrefix(chainOf('abc'))).toBe(0);
   });
 
-  it('vouches for nothing older than a gap until a snapshot', () => {
-    // Symptom: probes promise cached blocks, the engine computes them, first tokens come later than estimated.
-    // Sequence: block b is removed, the event is lost, the next event arrives.
-    // Cause: what was held before the lost event is still counted on.
+  it('does not confirm blocks from before a gap until a snapshot', () => {
+    // Block b is removed and the event is lost. If blocks from before the lost event still counted as cached, the
+    // engine would have to compute them, and first tokens would arrive later than estimated.
     const index = indexOf(stored(1, 'ab'));
     expect(index.apply(stored(3, 'cd'))).toBe('gap');
     expect(index.longestPrefix(chainOf('ab'))).toBe(0);
@@ -101,7 +101,7 @@
     expect(index.apply(stored(4, 'ae', { parent: 'a' }))).toBe('applied');
   });
 
-  it('vouches again for blocks that the engine has found or built upon since the gap', () => {
+  it('confirms blocks again that the engine found cached or used as a parent since the gap', () => {
     const index = indexOf(stored(1, 'abc'), stored(3, 'xy'));
     index.confirm(chainOf('abc'), 2);
     expect(index.longestPrefix(chainOf('abc'))).toBe(2);
@@ -109,10 +109,10 @@
     expect(index.longestPrefix(chainOf('abcd'))).toBe(4);
   });
 
-  it('takes what was computed since a gap to be likely, until a snapshot says better', () => {
-    // Symptom: after a few lost events hardly any prompt is known to be cached, and hit rate falls by a fifth.
-    // Sequence: the event that tells of a prompt's blocks is lost; all that follow name parents never heard of.
-    // Cause: only events tell of blocks, though the prompts themselves have passed here.
+  it('counts blocks computed since a gap as likely until a snapshot', () => {
+    // When the event of a prompt's blocks is lost, all later events refer to unknown parents. If only events added
+    // blocks, hardly any prompt would be known to be cached after a few lost events, and the hit rate would fall by a
+    // fifth.
     const index = indexOf(stored(1, 'ab'), stored(3, 'xy'));
     index.confirm(chainOf('abcd'), 2);
     expect([index.longestPrefix(chainOf('abcd')), index.likelyPrefix(chainOf('abcd'))]).toEqual([2, 4]);
@@ -126,9 +126,8 @@
   });
 
   it('ignores late events of an engine process that has ended', () => {
-    // Symptom: a restarted, empty engine is taken to have a prefix cached.
-    // Sequence: the engine restarts; events of its old process are still on their way and arrive now.
-    // Cause: events are taken up by sequence number alone.
+    // Events of the old process can arrive after the engine has restarted. If they were accepted by sequence number
+    // alone, the restarted engine with its empty cache would count as having a prefix cached.
     const index = indexOf(stored(1, 'ab'));
     index.begin('two');
     expect(index.longestPrefix(chainOf('ab'))).toBe(0);
@@ -138,8 +137,8 @@
     expect(index.longestPrefix(chainOf('x'))).toBe(1);
   });
 
-  it('relies on nothing when an event tells of a process that nobody has named', () => {
-    // Symptom, cause: as above, when the events of the new process arrive before the agent has noticed it.
+  it('clears the index when an event comes from an unknown process', () => {
+    // As above, but the events of the new process arrive before the agent has noticed the restart.
     const index = indexOf(stored(1, 'ab'));
     expect(index.apply(stored(1, 'x', { incarnation: 'two' }))).toBe('unknown-incarnation');
     expect(index.longestPrefix(chainOf('ab'))).toBe(0);
@@ -150,7 +149,7 @@
     expect(index.longestPrefix(chainOf('ab'))).toBe(2);
   });
 
-  it('takes up late removals, and no late blocks', () => {
+  it('applies late removals, but no late stored blocks', () => {
     const index = indexOf(stored(5, 'abc'));
     expect(index.apply(stored(3, 'xy'))).toBe('late');
     expect(index.longestPrefix(chainOf('xy'))).toBe(0);
@@ -158,24 +157,24 @@
     expect(index.longestPrefix(chainOf('abc'))).toBe(2);
   });
 
-  it('refuses a snapshot older than what it holds, or of another process', () => {
+  it('rejects a snapshot that is older than the index or of another process', () => {
     const index = indexOf(stored(5, 'abc'));
     expect(index.restore({ incarnation: 'one', sequence: 4, events: [] })).toBe(false);
     expect(index.restore({ incarnation: 'two', sequence: 9, events: [] })).toBe(false);
     expect(index.longestPrefix(chainOf('abc'))).toBe(3);
   });
 
-  it('is empty and whole after a clear', () => {
+  it('is empty and complete after a clear', () => {
     const index = indexOf(stored(1, 'abc'), { type: 'cleared', incarnation: 'one', sequence: 2 });
     expect([index.longestPrefix(chainOf('abc')), index.synchronised]).toEqual([0, true]);
   });
 
-  it('leaves out blocks whose parent it does not know', () => {
+  it('ignores blocks whose parent is unknown', () => {
     const index = indexOf(stored(1, 'abcd', { parent: 'ab' }));
     expect([index.counts().blocks, index.counts().orphans]).toEqual([0, 2]);
   });
 
-  it('keeps to its bound, and keeps what is looked at', () => {
+  it('stays within its capacity and keeps recently used blocks', () => {
     const index = new BlockIndex({ capacity: 64 });
     index.begin('one');
     index.apply(stored(1, 'abcd'));
@@ -187,7 +186,7 @@
     expect(index.counts().evicted).toBeGreaterThan(0);
   });
 
-  it('agrees with a plain set under any changes', () => {
+  it('agrees with a plain set for arbitrary changes', () => {
     const word = fc.string({ unit: fc.constantFrom('a', 'b'), minLength: 1, maxLength: 6 });
     const step = fc.record({ add: fc.boolean(), word });
     fc.assert(
--- a/packages/routing/src/blockIndex/blockIndex.ts
+++ b/packages/routing/src/blockIndex/blockIndex.ts
@@ -1,55 +1,55 @@
 /**
- * Exact index of the blocks in one engine's prefix cache, kept beside the engine from its cache events.
+ * Exact index of the blocks in one engine's prefix cache, maintained from its cache events.
  *
- * What goes wrong: events come late, some never, and some from an engine process that has ended. A lost
- * "removed" would leave a block in the index that the engine no longer has, and estimates would promise cached
- * work that has to be computed. Sequence numbers show the loss; from then on only blocks that later events or
- * answers confirm are vouched for, until a snapshot replaces the whole.
+ * Events can be late, lost, or from an engine process that has ended. A lost "removed" event would leave a block in
+ * the index that the engine no longer has, and estimates would count it as cached. Sequence numbers reveal lost events.
+ * After a gap only blocks that are confirmed by later events or responses count as cached, until a snapshot replaces
+ * the index.
  */
 import { BLOCK_BYTES, BLOCK_TOKENS, hashOf, namespaceSeed, nextHash } from '../prefix/index.js';
 import type { Chain, Namespace } from '../prefix/index.js';
 import { BlockTable } from './blockTable.js';
-import type { Halves } from './blockTable.js';
+import type { HashHalves } from './blockTable.js';
 import type { Applied, CacheChange, CacheSnapshot, RemovedBlocks, StoredBlocks } from './change.js';
 
-/** What an index is made with. */
+/** Options of a block index. */
 export interface BlockIndexOptions {
-  /** Most blocks that are held. */
+  /** Maximum number of blocks. */
   readonly capacity: number;
-  /** Namespace of stored blocks; customer, model, adapter and version of the event unless given. */
+  /** Namespace of stored blocks; defaults to the customer, model, adapter and version of the event. */
   readonly namespaceOf?: (stored: StoredBlocks) => Namespace;
 }
 
 /** Counters of an index. */
 export interface BlockIndexCounts {
   readonly blocks: number;
-  /** Bytes of the arrays. */
+  /** Size of the arrays in bytes. */
   readonly bytes: number;
   readonly gaps: number;
-  /** Blocks that could not be placed, for their parent is not known. */
+  /** Stored blocks that were ignored, as their parent is unknown or their shape is invalid. */
   readonly orphans: number;
-  /** Blocks that made room for others at the bound. */
+  /** Blocks evicted because the capacity was reached. */
   readonly evicted: number;
 }
 
-/** Ended incarnations whose late events are told from those of a new one. */
-const MAX_ENDED = 32;
+/** Ended incarnations that are kept, to ignore their late events. */
+const MAX_ENDED_INCARNATIONS = 32;
 
 const MAX_GENERATION = 254;
 
-/** Generation of blocks that no event has told of. */
-const ASSUMED = 255;
+/** Generation of blocks that no event has reported. */
+const UNREPORTED = 255;
 
-/** Blocks of one engine. */
+/** Index of the cached blocks of one engine. */
 export class BlockIndex {
   private readonly table: BlockTable;
   private readonly namespaceOf: (stored: StoredBlocks) => Namespace;
-  private readonly ended = new Set<string>();
-  private current: string | undefined;
-  /** Incarnation of an event that nobody has named. */
-  private foreign: string | undefined;
+  private readonly endedIncarnations = new Set<string>();
+  private currentIncarnation: string | undefined;
+  /** Incarnation seen in an event before `begin` announced it. */
+  private unknownIncarnation: string | undefined;
   private lastSequence: number | undefined;
-  private whole = false;
+  private complete = false;
   private generation = 1;
   private gaps = 0;
   private orphans = 0;
@@ -61,19 +61,19 @@
     this.namespaceOf = options.namespaceOf ?? defaultNamespace;
   }
 
-  /** Incarnation that the blocks belong to. */
+  /** Incarnation of the engine whose blocks are in the index. */
   get incarnation(): string | undefined {
-    return this.current;
+    return this.currentIncarnation;
   }
 
-  /** Number of the newest change, to follow events from. */
+  /** Sequence number of the newest change. */
   get sequence(): number {
     return this.lastSequence ?? 0;
   }
 
-  /** Whether the index is known to be whole; when not, a snapshot is wanted. */
+  /** Whether the index is complete; otherwise it needs a snapshot. */
   get synchronised(): boolean {
-    return this.whole;
+    return this.complete;
   }
 
   counts(): BlockIndexCounts {
@@ -82,106 +82,106 @@
   }
 
   /**
-   * Names the engine's process. Call it before the first request to a new one: whatever was cached before is
-   * dropped. Naming the same one again changes nothing.
+   * Announces the incarnation of the engine process and clears the index. To be called before the first request to a
+   * new process. Has no effect when the incarnation is unchanged.
    */
   begin(incarnation: string): void {
-    if (incarnation === this.current) return;
-    this.end(this.current);
-    this.end(this.foreign);
-    this.foreign = undefined;
-    this.ended.delete(incarnation);
-    this.current = incarnation;
+    if (incarnation === this.currentIncarnation) return;
+    this.markEnded(this.currentIncarnation);
+    this.markEnded(this.unknownIncarnation);
+    this.unknownIncarnation = undefined;
+    this.endedIncarnations.delete(incarnation);
+    this.currentIncarnation = incarnation;
     this.lastSequence = undefined;
-    this.dropAll();
+    this.reset();
   }
 
-  /** Takes up one change. */
+  /** Applies a change. */
   apply(change: CacheChange): Applied {
-    if (change.incarnation !== this.current) return this.applyForeign(change);
+    if (change.incarnation !== this.currentIncarnation) return this.applyOtherIncarnation(change);
     const expected = (this.lastSequence ?? change.sequence - 1) + 1;
     if (change.sequence < expected) return this.applyLate(change);
     this.lastSequence = change.sequence;
-    if (change.sequence > expected) this.openGap();
+    if (change.sequence > expected) this.recordGap();
     this.applyInOrder(change);
-    if (change.type === 'cleared') this.whole = true;
+    if (change.type === 'cleared') this.complete = true;
     return change.sequence > expected ? 'gap' : 'applied';
   }
 
   /**
-   * Replaces everything by a snapshot.
-   * @returns false when it is of another incarnation or older than what is held; then nothing changed.
+   * Replaces the index by a snapshot.
+   * @returns false when the snapshot is of another incarnation or older than the index; then nothing is changed.
    */
   restore(snapshot: CacheSnapshot): boolean {
-    if (snapshot.incarnation !== this.current || snapshot.sequence < this.sequence) return false;
-    this.dropAll();
+    if (snapshot.incarnation !== this.currentIncarnation || snapshot.sequence < this.sequence) return false;
+    this.reset();
     for (const change of snapshot.events) this.applyInOrder(change);
     this.lastSequence = snapshot.sequence;
-    this.whole = true;
+    this.complete = true;
     return true;
   }
 
-  /** Blocks of a chain, from its start on, that are vouched for. */
+  /** Number of leading blocks of a chain that are confirmed to be cached. */
   longestPrefix(chain: Chain): number {
-    return this.walk(chain, (generation) => generation === this.generation);
+    return this.matchPrefix(chain, (generation) => generation === this.generation);
   }
 
-  /** Like `longestPrefix`, with blocks that a lost event may have removed. Fit to rank, not to promise. */
+  /** Like `longestPrefix`, but includes blocks that a lost event may have removed. For ranking, not for estimates. */
   likelyPrefix(chain: Chain): number {
-    return this.walk(chain, () => true);
+    return this.matchPrefix(chain, () => true);
   }
 
   /**
-   * The engine has answered a prompt, and found its first `blocks` blocks in its cache. Those are vouched for.
-   * It has computed the others: while events are missing, they may be among the lost ones, and are taken to be
-   * likely until the next snapshot.
+   * Records that the engine answered a prompt and found its first `blocks` blocks in its cache. These blocks are
+   * confirmed. The engine has computed the others, but their events may have been lost: while the index is incomplete,
+   * they count as likely until the next snapshot.
    */
   confirm(chain: Chain, blocks: number): void {
     const halves = halvesOf(chain);
     for (let block = 0; block < chain.length; block += 1) {
       const hash = { low: halves[2 * block] ?? 0, high: halves[2 * block + 1] ?? 0 };
       const entry = this.table.findChain(hash.low, hash.high);
-      if (entry < 0 && !this.whole) this.table.add(hash, hash, ASSUMED);
-      if (entry >= 0 && block < blocks && this.table.generation(entry) !== ASSUMED) {
-        this.table.vouch(entry, this.generation);
+      if (entry < 0 && !this.complete) this.table.add(hash, hash, UNREPORTED);
+      if (entry >= 0 && block < blocks && this.table.generation(entry) !== UNREPORTED) {
+        this.table.confirm(entry, this.generation);
       }
     }
   }
 
-  private walk(chain: Chain, counts: (generation: number) => boolean): number {
+  private matchPrefix(chain: Chain, accepts: (generation: number) => boolean): number {
     const halves = halvesOf(chain);
     for (let block = 0; block < chain.length; block += 1) {
       const entry = this.table.findChain(halves[2 * block] ?? 0, halves[2 * block + 1] ?? 0);
-      if (entry < 0 || !counts(this.table.generation(entry))) return block;
-      this.table.touch(entry);
+      if (entry < 0 || !accepts(this.table.generation(entry))) return block;
+      this.table.markUsed(entry);
     }
     return chain.length;
   }
 
   /**
-   * A late event of an ended process must not change what is known of its successor. One of a process that
-   * nobody has named means that the engine may have restarted unseen: nothing held is relied on until `begin`
-   * says which process runs.
+   * Late events of an ended process must not change the index of its successor. An event of an unknown process means
+   * that the engine may have restarted unnoticed: the index is cleared and stays empty until `begin` announces the
+   * running process.
    */
-  private applyForeign(change: CacheChange): Applied {
-    if (this.ended.has(change.incarnation)) return 'old-incarnation';
-    this.end(this.current);
-    this.current = undefined;
-    this.foreign = change.incarnation;
+  private applyOtherIncarnation(change: CacheChange): Applied {
+    if (this.endedIncarnations.has(change.incarnation)) return 'old-incarnation';
+    this.markEnded(this.currentIncarnation);
+    this.currentIncarnation = undefined;
+    this.unknownIncarnation = change.incarnation;
     this.lastSequence = undefined;
-    this.dropAll();
+    this.reset();
     return 'unknown-incarnation';
   }
 
-  private end(incarnation: string | undefined): void {
+  private markEnded(incarnation: string | undefined): void {
     if (incarnation === undefined) return;
-    this.ended.add(incarnation);
-    if (this.ended.size <= MAX_ENDED) return;
-    const [oldest] = this.ended;
-    if (oldest !== undefined) this.ended.delete(oldest);
+    this.endedIncarnations.add(incarnation);
+    if (this.endedIncarnations.size <= MAX_ENDED_INCARNATIONS) return;
+    const [oldest] = this.endedIncarnations;
+    if (oldest !== undefined) this.endedIncarnations.delete(oldest);
   }
 
-  /** A block that left is left out in any order; one that came may have left again since. */
+  /** Late removals are applied. Late stored blocks are ignored, as they may have been removed since. */
   private applyLate(change: CacheChange): Applied {
     if (change.type !== 'stored') this.applyInOrder(change);
     return 'late';
@@ -209,12 +209,12 @@
     });
   }
 
-  /** Chain hash before the first stored block; undefined when the parent is not in the index. */
+  /** Chain hash of the block before the first stored one; undefined when the parent is not in the index. */
   private parentHash(stored: StoredBlocks): bigint | undefined {
     if (stored.parent === null) return namespaceSeed(this.namespaceOf(stored));
     const entry = this.table.findEngine(this.split(hashOf(stored.parent)));
     if (entry < 0) return undefined;
-    this.table.vouch(entry, this.generation);
+    this.table.confirm(entry, this.generation);
     this.scratchHalves[0] = this.table.chainLow(entry);
     this.scratchHalves[1] = this.table.chainHigh(entry);
     return this.scratch[0];
@@ -227,22 +227,22 @@
     }
   }
 
-  /** From here on, what is held is not vouched for. It stays, to place the children of its blocks. */
-  private openGap(): void {
+  /** Starts a new generation, so that existing blocks are not confirmed. They stay as parents of later blocks. */
+  private recordGap(): void {
     this.gaps += 1;
-    this.whole = false;
+    this.complete = false;
     this.generation += 1;
     if (this.generation <= MAX_GENERATION) return;
-    this.dropAll();
+    this.reset();
   }
 
-  private dropAll(): void {
+  private reset(): void {
     this.table.clear();
     this.generation = 1;
-    this.whole = false;
+    this.complete = false;
   }
 
-  private split(value: bigint): Halves {
+  private split(value: bigint): HashHalves {
     this.scratch[0] = value;
     return { low: this.scratchHalves[0] ?? 0, high: this.scratchHalves[1] ?? 0 };
   }
--- a/packages/routing/src/blockIndex/blockTable.ts
+++ b/packages/routing/src/blockIndex/blockTable.ts
@@ -1,57 +1,57 @@
-/** Blocks in typed arrays: engine's hash and chain hash of each, found by either. */
+/** Table of blocks in typed arrays, with lookup by the engine's hash and by chain hash. */
 import { KeyIndex } from './keyIndex.js';
 import type { Keys } from './keyIndex.js';
 
-/** Entries of a new table, and how much it grows by. */
-const FIRST_ENTRIES = 1_024;
-const GROWTH = 1.5;
+/** Entries of a new table, and its growth factor. */
+const INITIAL_ENTRIES = 1_024;
+const GROWTH_FACTOR = 1.5;
 
-/** A 64-bit number as two halves. */
-export interface Halves {
+/** A 64-bit hash as two halves. */
+export interface HashHalves {
   readonly low: number;
   readonly high: number;
 }
 
-/** State of an entry: free, or the generation that vouches for it (1 to 255). */
+/** Generation value of a free entry. Entries in use have a generation from 1 to 255. */
 const FREE = 0;
 
-/** A bounded table. When it is full, the block least lately looked at makes room. */
+/** A bounded table. When it is full, blocks are evicted by the clock algorithm. */
 export class BlockTable {
   private readonly chain: Keys = { low: new Uint32Array(0), high: new Uint32Array(0) };
   private readonly engine: Keys = { low: new Uint32Array(0), high: new Uint32Array(0) };
   private generations = new Uint8Array(0);
-  private touched = new Uint8Array(0);
+  private recentlyUsed = new Uint8Array(0);
   private readonly byChain = new KeyIndex(this.chain);
   private readonly byEngine = new KeyIndex(this.engine);
-  private free: number[] = [];
-  private used = 0;
-  private hand = 0;
-  /** Blocks that made room for others. */
+  private freeEntries: number[] = [];
+  private usedCount = 0;
+  private clockHand = 0;
+  /** Number of evicted blocks. */
   evicted = 0;
 
-  /** @param capacity most blocks that are held. */
+  /** @param capacity maximum number of blocks. */
   constructor(private readonly capacity: number) {
-    this.grow(Math.min(FIRST_ENTRIES, capacity));
+    this.grow(Math.min(INITIAL_ENTRIES, capacity));
   }
 
   get size(): number {
-    return this.used;
+    return this.usedCount;
   }
 
-  /** Bytes of all arrays. */
+  /** Size of all arrays in bytes. */
   get bytes(): number {
     const entries = this.generations.length;
     const perEntry = 4 * Uint32Array.BYTES_PER_ELEMENT + 2;
     return entries * perEntry + this.byChain.bytes + this.byEngine.bytes;
   }
 
-  /** Entry of a chain hash, or -1. */
+  /** Entry of a block by its chain hash, or -1. */
   findChain(low: number, high: number): number {
     return this.byChain.find(low, high);
   }
 
-  /** Entry of an engine's hash, or -1. */
-  findEngine(key: Halves): number {
+  /** Entry of a block by the engine's hash, or -1. */
+  findEngine(key: HashHalves): number {
     return this.byEngine.find(key.low, key.high);
   }
 
@@ -67,74 +67,74 @@
     return this.generations[entry] ?? FREE;
   }
 
-  /** Notes that an entry was of use and is vouched for by `generation`. */
-  vouch(entry: number, generation: number): void {
+  /** Marks an entry as recently used and confirmed in `generation`. */
+  confirm(entry: number, generation: number): void {
     this.generations[entry] = generation;
-    this.touched[entry] = 1;
+    this.recentlyUsed[entry] = 1;
   }
 
-  /** Notes that an entry was of use. */
-  touch(entry: number): void {
-    this.touched[entry] = 1;
+  /** Marks an entry as recently used. */
+  markUsed(entry: number): void {
+    this.recentlyUsed[entry] = 1;
   }
 
   /**
-   * Adds a block. A block that is there under the same chain hash is replaced: the engine's newest name for
-   * it is the one that its removal will use.
+   * Adds a block. An entry with the same chain hash is replaced, because the engine will use its newest hash of the
+   * block when it removes it.
    */
-  add(engine: Halves, chain: Halves, generation: number): void {
+  add(engine: HashHalves, chain: HashHalves, generation: number): void {
     const named = this.byEngine.find(engine.low, engine.high);
     if (named >= 0) this.remove(named);
     const known = this.byChain.find(chain.low, chain.high);
     if (known >= 0) this.remove(known);
-    const entry = this.take();
+    const entry = this.allocate();
     this.engine.low[entry] = engine.low;
     this.engine.high[entry] = engine.high;
     this.chain.low[entry] = chain.low;
     this.chain.high[entry] = chain.high;
     this.generations[entry] = generation;
-    this.touched[entry] = 0;
+    this.recentlyUsed[entry] = 0;
     this.byEngine.add(entry);
     this.byChain.add(entry);
-    this.used += 1;
+    this.usedCount += 1;
   }
 
   remove(entry: number): void {
     this.byEngine.remove(entry);
     this.byChain.remove(entry);
     this.generations[entry] = FREE;
-    this.free.push(entry);
-    this.used -= 1;
+    this.freeEntries.push(entry);
+    this.usedCount -= 1;
   }
 
   clear(): void {
     this.byEngine.clear();
     this.byChain.clear();
     this.generations.fill(FREE);
-    this.free = [];
-    for (let entry = this.generations.length - 1; entry >= 0; entry -= 1) this.free.push(entry);
-    this.used = 0;
+    this.freeEntries = [];
+    for (let entry = this.generations.length - 1; entry >= 0; entry -= 1) this.freeEntries.push(entry);
+    this.usedCount = 0;
   }
 
-  private take(): number {
-    const entry = this.free.pop();
+  private allocate(): number {
+    const entry = this.freeEntries.pop();
     if (entry !== undefined) return entry;
     if (this.generations.length < this.capacity) {
-      this.grow(Math.min(this.capacity, Math.ceil(this.generations.length * GROWTH)));
+      this.grow(Math.min(this.capacity, Math.ceil(this.generations.length * GROWTH_FACTOR)));
     } else {
       this.evict();
     }
-    return this.free.pop() ?? 0;
+    return this.freeEntries.pop() ?? 0;
   }
 
-  /** Second chance: passes over blocks that were of use since the hand last came by. */
+  /** Clock algorithm: skips entries that were used since the hand last passed them. */
   private evict(): void {
-    while (this.touched[this.hand] === 1) {
-      this.touched[this.hand] = 0;
-      this.hand = (this.hand + 1) % this.capacity;
+    while (this.recentlyUsed[this.clockHand] === 1) {
+      this.recentlyUsed[this.clockHand] = 0;
+      this.clockHand = (this.clockHand + 1) % this.capacity;
     }
-    this.remove(this.hand);
-    this.hand = (this.hand + 1) % this.capacity;
+    this.remove(this.clockHand);
+    this.clockHand = (this.clockHand + 1) % this.capacity;
     this.evicted += 1;
   }
 
@@ -148,9 +148,9 @@
     generations.set(this.generations);
     this.generations = generations;
     const touched = new Uint8Array(entries);
-    touched.set(this.touched);
-    this.touched = touched;
-    for (let entry = entries - 1; entry >= before; entry -= 1) this.free.push(entry);
+    touched.set(this.recentlyUsed);
+    this.recentlyUsed = touched;
+    for (let entry = entries - 1; entry >= before; entry -= 1) this.freeEntries.push(entry);
     this.byChain.rebuild(entries, this.entries(before));
     this.byEngine.rebuild(entries, this.entries(before));
   }
--- a/packages/routing/src/blockIndex/change.ts
+++ b/packages/routing/src/blockIndex/change.ts
@@ -1,11 +1,11 @@
-/** Changes of an engine's prefix cache, in the shape in which engine adapters report them. */
+/** Changes of an engine's prefix cache, as reported by engine adapters. */
 
-/** Blocks that came into the cache, parents before children. */
+/** Blocks that were added to the cache, parents before children. */
 export interface StoredBlocks {
   readonly type: 'stored';
   readonly incarnation: string;
   readonly sequence: number;
-  /** Engine's hash of the block before the first, or null at the start of a prompt. */
+  /** The engine's hash of the block before the first one, or null at the start of a prompt. */
   readonly parent: string | null;
   readonly hashes: readonly string[];
   /** Token ids of all the blocks, in order. */
@@ -18,7 +18,7 @@
   readonly version: string;
 }
 
-/** Blocks that left the cache. */
+/** Blocks that were removed from the cache. */
 export interface RemovedBlocks {
   readonly type: 'removed';
   readonly incarnation: string;
@@ -26,30 +26,30 @@
   readonly hashes: readonly string[];
 }
 
-/** All blocks left the cache. */
+/** The whole cache was cleared. */
 export interface ClearedBlocks {
   readonly type: 'cleared';
   readonly incarnation: string;
   readonly sequence: number;
 }
 
-/** One numbered change. */
+/** A change with its sequence number. */
 export type CacheChange = StoredBlocks | RemovedBlocks | ClearedBlocks;
 
-/** The whole cache at one moment; parents come before children. */
+/** Content of the cache at one point in time, parents before children. */
 export interface CacheSnapshot {
   readonly incarnation: string;
-  /** Number of the last change that is in it. */
+  /** Sequence number of the last change that is included. */
   readonly sequence: number;
   readonly events: readonly CacheChange[];
 }
 
 /**
- * What became of a change:
- * - `applied`: taken up in order.
- * - `gap`: taken up, but changes before it are missing: older blocks are not vouched for any more.
- * - `late`: its number has passed. Removals were taken up, the rest was not.
- * - `old-incarnation`: of an engine process that has ended; ignored.
- * - `unknown-incarnation`: of a process that `begin` has not named; everything was dropped.
+ * Result of applying a change:
+ * - `applied`: applied in order.
+ * - `gap`: applied, but changes before it are missing; older blocks are no longer confirmed.
+ * - `late`: out of order, after changes with a higher number. Removals were applied, stored blocks were ignored.
+ * - `old-incarnation`: ignored, as its engine process has ended.
+ * - `unknown-incarnation`: of a process that was not announced by `begin`; the index was cleared.
  */
 export type Applied = 'applied' | 'gap' | 'late' | 'old-incarnation' | 'unknown-incarnation';
--- a/packages/routing/src/blockIndex/keyIndex.ts
+++ b/packages/routing/src/blockIndex/keyIndex.ts
@@ -1,26 +1,26 @@
-/** Open-addressing index from a 64-bit key to the number of an entry, in typed arrays. */
+/** Open-addressing hash table from 64-bit keys to entry numbers, in typed arrays. */
 
-/** Keys of all entries, as two halves, by entry number. Keys are hashes, so their bits are even. */
+/** Keys by entry number, as two halves. Keys are hashes, so they are uniformly distributed. */
 export interface Keys {
   low: Uint32Array;
   high: Uint32Array;
 }
 
-/** Share of the slots that may be in use. */
-const MAX_FILL = 0.8;
+/** Maximum fraction of slots in use. */
+const MAX_LOAD_FACTOR = 0.8;
 
 const UNIT = 2 ** -32;
 
-/** Linear probing; removal closes the hole, so no tombstones build up. */
+/** Linear probing with backward-shift deletion, which needs no tombstones. */
 export class KeyIndex {
-  /** Entry number plus one; 0: free. */
+  /** Entry number plus one, or 0 for a free slot. */
   private slots = new Uint32Array(1);
 
   constructor(private readonly keys: Keys) {}
 
-  /** Makes room for `entries` and puts `used` in again. */
+  /** Resizes the table for `entries` entries and inserts those of `used`. */
   rebuild(entries: number, used: Iterable<number>): void {
-    this.slots = new Uint32Array(Math.ceil(entries / MAX_FILL) + 1);
+    this.slots = new Uint32Array(Math.ceil(entries / MAX_LOAD_FACTOR) + 1);
     for (const entry of used) this.add(entry);
   }
 
@@ -28,7 +28,7 @@
     this.slots.fill(0);
   }
 
-  /** Number of the entry with a key, or -1. */
+  /** Entry number of a key, or -1. */
   find(low: number, high: number): number {
     const { slots, keys } = this;
     let slot = this.home(low);
@@ -36,23 +36,23 @@
       const held = slots[slot] ?? 0;
       if (held === 0) return -1;
       if (keys.low[held - 1] === low && keys.high[held - 1] === high) return held - 1;
-      slot = this.next(slot);
+      slot = this.nextSlot(slot);
     }
   }
 
-  /** Adds an entry whose key is set. */
+  /** Adds an entry. Its key must be set. */
   add(entry: number): void {
     let slot = this.home(this.keys.low[entry] ?? 0);
-    while (this.slots[slot] !== 0) slot = this.next(slot);
+    while (this.slots[slot] !== 0) slot = this.nextSlot(slot);
     this.slots[slot] = entry + 1;
   }
 
-  /** Takes an entry out; its key must still be set. */
+  /** Removes an entry. Its key must still be set. */
   remove(entry: number): void {
     let slot = this.home(this.keys.low[entry] ?? 0);
     while (this.slots[slot] !== entry + 1) {
       if (this.slots[slot] === 0) return;
-      slot = this.next(slot);
+      slot = this.nextSlot(slot);
     }
     this.closeHole(slot);
   }
@@ -61,20 +61,20 @@
     return this.slots.byteLength;
   }
 
-  /** Moves later entries of the run back, so that no search stops early at the hole. */
+  /** Shifts later entries of the run back, so that no lookup ends early at the free slot. */
   private closeHole(start: number): void {
     const { slots } = this;
     let hole = start;
-    let slot = this.next(start);
+    let slot = this.nextSlot(start);
     for (;;) {
       const held = slots[slot] ?? 0;
       if (held === 0) break;
-      const home = this.home(this.keys.low[held - 1] ?? 0);
-      if (this.distance(home, slot) >= this.distance(hole, slot)) {
+      const idealSlot = this.home(this.keys.low[held - 1] ?? 0);
+      if (this.distance(idealSlot, slot) >= this.distance(hole, slot)) {
         slots[hole] = held;
         hole = slot;
       }
-      slot = this.next(slot);
+      slot = this.nextSlot(slot);
     }
     slots[hole] = 0;
   }
@@ -83,7 +83,7 @@
     return Math.floor(low * UNIT * this.slots.length);
   }
 
-  private next(slot: number): number {
+  private nextSlot(slot: number): number {
     return slot + 1 === this.slots.length ? 0 : slot + 1;
   }
 
