--- a/packages/routing/src/prefix/chain.spec.ts
+++ b/packages/routing/src/prefix/chain.spec.ts
@@ -11,7 +11,7 @@
 const join = (...parts: Uint8Array[]): Uint8Array => new Uint8Array(Buffer.concat(parts));
 
 describe('createChain', () => {
-  it('has one hash for each full block, and equal ones exactly as far as two prompts are equal', () => {
+  it('has one hash per full block, equal exactly as far as two prompts are equal', () => {
     const left = createChain(namespace, join(text(3, 'a'), text(2, 'b'), text(1, 'c').subarray(4)));
     const right = createChain(namespace, join(text(3, 'a'), text(2, 'd')));
     expect([left.length, right.length]).toEqual([5, 5]);
@@ -19,7 +19,7 @@
     expect(left[4]).not.toBe(right[4]);
   });
 
-  it('counts a last token that fills its block by padding, as engines do', () => {
+  it('counts a block that is completed by padding the last token, as engines do', () => {
     const whole = createChain(namespace, join(text(1, 'a'), new Uint8Array(BLOCK_BYTES)));
     const padded = createChain(namespace, join(text(1, 'a'), new Uint8Array(BLOCK_BYTES - 3)));
     expect(padded).toEqual(whole);
@@ -28,16 +28,15 @@
   it.each(['customer', 'model', 'adapter', 'weightsVersion'] as const)(
     'shares no block with another %s',
     (field) => {
-      // Symptom: a customer is told that its prompt is cached, by blocks of another one or of older weights.
-      // Sequence: two namespaces send the same prompt.
-      // Cause: a hash over the prompt alone.
+      // With hashes over the prompt alone, the same prompt in two namespaces would count as cached because of blocks
+      // of another customer or of older weights.
       const other = { ...namespace, [field]: 'other' };
       const prompt = text(8, 'a');
       expect(sharedBlocks(createChain(namespace, prompt), createChain(other, prompt))).toBe(0);
     },
   );
 
-  it('goes through messages unchanged', () => {
+  it('is unchanged by encoding and decoding', () => {
     fc.assert(
       fc.property(fc.bigUint64Array({ maxLength: 50 }), (chain) => {
         const bytes = encodeChain(chain);
@@ -48,7 +47,7 @@
 });
 
 describe('levelsOf', () => {
-  it('has two for each doubling, deepest first, and is the same for two prompts as far as they share it', () => {
+  it('has two levels per doubling, deepest first, equal for two prompts as far as they are equal', () => {
     const left = levelsOf(createChain(namespace, join(text(20, 'a'), text(20, 'b'))));
     const right = levelsOf(createChain(namespace, join(text(20, 'a'), text(20, 'c'))));
     expect(left.map((level) => level.blocks)).toEqual([32, 24, 16, 12, 8, 6, 4]);
@@ -56,7 +55,7 @@
     expect(left[1]).not.toEqual(right[1]);
   });
 
-  it('has the last block of prompts too short for a level, and nothing for an empty one', () => {
+  it('has one level with all blocks of a short prompt, and none for an empty prompt', () => {
     expect(levelsOf(createChain(namespace, text(2, 'a'))).map((level) => level.blocks)).toEqual([2]);
     expect(levelsOf(createChain(namespace, new Uint8Array()))).toEqual([]);
   });
--- a/packages/routing/src/prefix/chain.ts
+++ b/packages/routing/src/prefix/chain.ts
@@ -1,8 +1,8 @@
-/** Identity of prompt prefixes: a chain of block hashes under a namespace. */
+/** Identification of prompt prefixes by chains of block hashes in a namespace. */
 import createHasher from 'xxhash-wasm';
 import type { XXHashAPI } from 'xxhash-wasm';
 
-/** Bytes of prompt text that count as one token where no tokenizer is at hand. */
+/** Bytes of prompt text that count as one token when no tokenizer is available. */
 export const BYTES_PER_TOKEN = 4;
 
 /** Tokens of one block. */
@@ -11,10 +11,10 @@
 /** Bytes of one block. */
 export const BLOCK_BYTES = BYTES_PER_TOKEN * BLOCK_TOKENS;
 
-/** Bytes of one hash in messages. */
+/** Size of a hash in messages, bytes. */
 export const HASH_BYTES = 8;
 
-/** What two requests must share before any cached block is theirs both. */
+/** Scope of cached blocks: requests share blocks only if all fields are equal. */
 export interface Namespace {
   readonly customer: string;
   readonly model: string;
@@ -23,47 +23,47 @@
 }
 
 /**
- * Hashes of the prompt's full blocks, each over its block and the hash before it: equal hashes mean equal
- * prefixes up to there. Length is the number of full blocks.
+ * Hashes of the prompt's full blocks. Each covers its block and the previous hash, so that equal hashes mean equal
+ * prefixes up to that block. The length is the number of full blocks.
  */
 export type Chain = BigUint64Array;
 
-let loaded: XXHashAPI | undefined;
+let loadedHasher: XXHashAPI | undefined;
 
-/** Loads the hash function. To be awaited before anything is hashed; a process that hashes nothing need not load it. */
+/** Loads the hash function. Must be awaited before any hashing; not needed in a process that does not hash. */
 export async function loadHasher(): Promise<void> {
-  loaded ??= await createHasher();
+  loadedHasher ??= await createHasher();
 }
 
 function hasher(): XXHashAPI {
-  if (loaded === undefined) throw new Error('hashes are made before loadHasher was awaited');
-  return loaded;
+  if (loadedHasher === undefined) throw new Error('loadHasher() must be awaited before hashing');
+  return loadedHasher;
 }
 
-/** Hash that stands before a namespace's first block: prompts of two namespaces share no block hash. */
+/** Parent hash of the first block in a namespace, so that prompts of two namespaces share no block hash. */
 export function namespaceSeed(namespace: Namespace): bigint {
   const parts = [namespace.customer, namespace.model, namespace.adapter, namespace.weightsVersion];
   return hasher().h64(JSON.stringify(parts));
 }
 
-/** 64-bit hash of any text, as of an engine's name for a block. */
+/** 64-bit hash of a text, such as an engine's identifier of a block. */
 export function hashOf(text: string): bigint {
   return hasher().h64(text);
 }
 
-/** Hash of a block after `parent`. @param bytes exactly BLOCK_BYTES long. */
+/** Chain hash of a block that follows `parent`. @param bytes exactly BLOCK_BYTES long. */
 export function nextHash(parent: bigint, bytes: Uint8Array): bigint {
   return hasher().h64Raw(bytes, parent);
 }
 
-/** Tokens of a prompt of `bytes` bytes; the last one may be padded. */
+/** Number of tokens of a prompt of `bytes` bytes. The last token may be padded. */
 export function tokensOf(bytes: number): number {
   return Math.ceil(bytes / BYTES_PER_TOKEN);
 }
 
 /**
- * The chain of a prompt, in one pass. A last token that fills its block by padding counts, as it does in
- * the engine.
+ * Computes the chain of a prompt in one pass. A block that is completed by padding the last token counts as full, as
+ * in the engine.
  */
 export function createChain(namespace: Namespace, prompt: Uint8Array): Chain {
   const blocks = Math.floor(tokensOf(prompt.length) / BLOCK_TOKENS);
@@ -84,7 +84,7 @@
   return padded;
 }
 
-/** A chain as the gate's messages carry it: 8 bytes a hash, little endian. */
+/** Encodes a chain for messages: 8 bytes per hash, little endian. */
 export function encodeChain(chain: Chain): Uint8Array {
   const bytes = new Uint8Array(chain.length * HASH_BYTES);
   const view = new DataView(bytes.buffer);
@@ -94,7 +94,7 @@
   return bytes;
 }
 
-/** Reads `encodeChain`'s bytes. Bytes after the last whole hash are left out. */
+/** Decodes the output of `encodeChain`. Bytes after the last complete hash are ignored. */
 export function decodeChain(bytes: Uint8Array): Chain {
   const chain = new BigUint64Array(Math.floor(bytes.length / HASH_BYTES));
   const view = new DataView(bytes.buffer, bytes.byteOffset, bytes.byteLength);
@@ -104,7 +104,7 @@
   return chain;
 }
 
-/** Number of blocks that two chains share. Looks at O(log n) hashes: equal hashes mean equal prefixes. */
+/** Number of leading blocks that two chains share. Binary search, as equal hashes mean equal prefixes. */
 export function sharedBlocks(left: Chain, right: Chain): number {
   let low = 0;
   let high = Math.min(left.length, right.length);
