--- a/packages/routing/src/retry/retryBudget.spec.ts
+++ b/packages/routing/src/retry/retryBudget.spec.ts
@@ -1,9 +1,9 @@
 import { expect, it } from 'vitest';
 import { RetryBudget } from './retryBudget.js';
 
-it('keeps retries to a share of the requests however many fail', () => {
-  // Symptom: attempts a request grow with the failures, until the targets that are left fail too.
-  // Sequence: all of 1,000 requests fail and ask for a retry, three times each. Cause: retries without a bound.
+it('limits retries to a share of the requests however many fail', () => {
+  // All of 1,000 requests fail and ask for three retries each. Without a budget the attempts per request would grow
+  // with the failures until the remaining targets fail too.
   const budget = new RetryBudget({ share: 0.1, burst: 10 });
   let retries = 0;
   for (let request = 0; request < 1_000; request += 1) {
--- a/packages/routing/src/retry/retryBudget.ts
+++ b/packages/routing/src/retry/retryBudget.ts
@@ -1,36 +1,36 @@
 /**
  * Retry budget of an entry.
  *
- * What goes wrong: when targets fail, each failed request is sent again, the retries are load on the targets
- * that are left, and they fail too. The number of attempts a request shows it. Retries are a fixed share of the
- * requests here, so that they add at most that share to the load however many requests fail.
+ * When targets fail, unlimited retries of their requests add load to the remaining targets until these fail too,
+ * which shows in the number of attempts per request. The budget limits retries to a fixed share of the requests, so
+ * that they add at most that share to the load however many requests fail.
  */
 
-/** What a budget is made with. */
+/** Options of a retry budget. */
 export interface RetryBudgetOptions {
-  /** Retries for each request, such as 0.1. */
+  /** Retries allowed per request, such as 0.1. */
   readonly share: number;
-  /** Retries that may be saved up, and that are there at the start. */
+  /** Maximum number of accumulated retries, and their number at the start. */
   readonly burst: number;
 }
 
-/** Shared by all requests of one entry process. */
+/** Retry budget shared by all requests of an entry process. */
 export class RetryBudget {
-  private saved: number;
+  private available: number;
 
   constructor(private readonly options: RetryBudgetOptions = { share: 0.1, burst: 10 }) {
-    this.saved = options.burst;
+    this.available = options.burst;
   }
 
-  /** A first attempt goes out. */
+  /** Adds to the budget for the first attempt of a request. */
   deposit(): void {
-    this.saved = Math.min(this.options.burst, this.saved + this.options.share);
+    this.available = Math.min(this.options.burst, this.available + this.options.share);
   }
 
-  /** Takes one retry. @returns false when the budget is spent: the fault at hand goes to the caller. */
+  /** Takes one retry. @returns false when the budget is exhausted; the fault must then be returned to the caller. */
   withdraw(): boolean {
-    if (this.saved < 1) return false;
-    this.saved -= 1;
+    if (this.available < 1) return false;
+    this.available -= 1;
     return true;
   }
 }
