--- a/packages/routing/src/target/prefillTurns.ts
+++ b/packages/routing/src/target/prefillTurns.ts
@@ -1,70 +1,69 @@
 /**
- * Turns of prefill at one target, kept by the gate beside it.
+ * Limits concurrent prefills at one target; used by the gate in front of it.
  *
- * What goes wrong: an engine starts as many requests as it has places. It prefills them one after the other all
- * the same, but each holds its blocks from its start on, so that under load the waiting ones push out the cached
- * prefixes that they themselves need; and requests with one new prefix, started together, each compute it.
- * Recomputed tokens that grow with the queue show it. Here only a few requests are sent to the engine before
- * their first token; the others wait at the gate, a time that they would spend in the engine's queue anyway, and
- * a request waits for another one that is computing blocks that it needs.
+ * An engine starts as many requests as it has slots. It prefills them one after another, but each holds its blocks from
+ * the start, so that under load waiting requests evict the cached prefixes that they need themselves. Requests with the
+ * same new prefix that are started together each compute it. Both show as recomputed tokens that grow with the queue.
+ * Therefore only a few requests without a first token are sent to the engine. The others wait at the gate, for a time
+ * that they would spend in the engine's queue anyway, and a request waits while another one computes blocks that it needs.
  */
 import type { Cancellation, Clock } from '@jasmineroute/core';
 import type { Chain } from '../prefix/index.js';
 import { sharedBlocks } from '../prefix/index.js';
 
-/** A request before its first token. */
+/** A request that has no first token yet. */
 export interface PendingPrefill {
   readonly chain: Chain;
-  /** Larger goes first. */
+  /** Higher priorities are started first. */
   readonly priority: number;
-  /** Milliseconds that its own prefill is expected to take. */
+  /** Expected duration of its own prefill, milliseconds. */
   readonly expectedMs: number;
 }
 
-/** What turns are made with. */
+/** Options of `PrefillTurns`. */
 export interface PrefillTurnsOptions {
   readonly clock: Clock;
-  /** Blocks of a chain that the target has in its cache now. */
+  /** Number of leading blocks of a chain that the target has cached now. */
   readonly cachedBlocks: (chain: Chain) => number;
-  /** Requests that may be at the engine before their first token: enough that it never idles. */
+  /** Maximum number of requests without a first token at the engine. */
   readonly atOnce: number;
 }
 
-interface Turn {
+interface QueuedPrefill {
   readonly prefill: PendingPrefill;
-  /** Lets it go on; undefined until it waits, and once it goes. */
+  /** Resolves the promise of `wait`; undefined unless the request is waiting. */
   start?: () => void;
-  /** Calls off the end of its turn. */
-  calledOff?: Cancellation;
+  /** Cancels the timeout of its turn. */
+  cancelTimeout?: Cancellation;
 }
 
-/** Requests at the engine before their first token: the next one is at hand when one is done. */
+/** Default limit: the engine has the next request queued when a prefill is done, so that it does not idle. */
 export const PREFILLS_AT_ONCE = 2;
 
 /**
- * Longest turn: this many times the expected prefill, and some. An answer that does not stream shows its first
- * byte only at its end, and must not hold the turn until then.
+ * Timeout of a turn: this factor times the expected prefill, plus a margin. A response that is not streamed has its
+ * first byte only at its end, and must not hold the turn until then.
  */
-const LONGEST_TURN = 2;
-const LONGEST_TURN_MS = 150;
+const TURN_TIMEOUT_FACTOR = 2;
+const TURN_TIMEOUT_MARGIN_MS = 150;
 
-/** Blocks that a prompt must share with one that is computed, beyond the cached ones, to wait for it. */
-const LEAST_SHARED_BLOCKS = 8;
+/** Minimum number of uncached blocks that a prompt must share with an active prefill to wait for it. */
+const MIN_SHARED_BLOCKS = 8;
 
-/** Requests of one target that have no first token yet. */
+/** Schedules the requests of one target that have no first token yet. */
 export class PrefillTurns {
-  /** In the order of their arrival. */
-  private readonly waiting = new Map<string, Turn>();
-  private readonly going = new Map<string, Turn>();
+  /** In order of arrival. */
+  private readonly waiting = new Map<string, QueuedPrefill>();
+  private readonly active = new Map<string, QueuedPrefill>();
 
   constructor(private readonly options: PrefillTurnsOptions) {}
 
-  /** A request has arrived. */
+  /** Adds a request that has arrived. */
   enter(attemptId: string, prefill: PendingPrefill): void {
     this.waiting.set(attemptId, { prefill });
   }
 
-  /** Resolves when it is the request's turn, or on abort. Call `leave` in either case. */
+  /** Resolves when it is the turn of the request, or on abort. `leave` must be called in either case. */
   wait(attemptId: string, signal: AbortSignal): Promise<void> {
     const turn = this.waiting.get(attemptId);
     if (turn === undefined || signal.aborted) return Promise.resolve();
@@ -78,37 +77,37 @@
         resolve();
       };
       signal.addEventListener('abort', onAbort, { once: true });
-      this.grant();
+      this.startNext();
     });
   }
 
-  /** Its first token came, or it ended before. Twice changes nothing. */
+  /** Removes a request that has its first token or has ended. Repeated calls have no effect. */
   leave(attemptId: string): void {
-    this.going.get(attemptId)?.calledOff?.();
-    const known = this.waiting.delete(attemptId) || this.going.delete(attemptId);
-    if (known) this.grant();
+    this.active.get(attemptId)?.cancelTimeout?.();
+    const known = this.waiting.delete(attemptId) || this.active.delete(attemptId);
+    if (known) this.startNext();
   }
 
-  /** Blocks of a chain that requests here compute or are about to, counted from its start. */
+  /** Number of leading blocks of a chain that active or waiting requests compute. */
   pendingBlocks(chain: Chain): number {
     let blocks = 0;
-    for (const turns of [this.going, this.waiting]) {
+    for (const turns of [this.active, this.waiting]) {
       for (const { prefill } of turns.values()) blocks = Math.max(blocks, sharedBlocks(prefill.chain, chain));
     }
     return blocks;
   }
 
-  private grant(): void {
-    while (this.going.size < this.options.atOnce) {
-      const next = this.next();
-      if (next === undefined) return;
-      const [attemptId, turn] = next;
+  private startNext(): void {
+    while (this.active.size < this.options.atOnce) {
+      const findNext = this.next();
+      if (findNext === undefined) return;
+      const [attemptId, turn] = findNext;
       this.waiting.delete(attemptId);
-      this.going.set(attemptId, turn);
+      this.active.set(attemptId, turn);
       const { start } = turn;
       turn.start = undefined;
-      turn.calledOff = this.options.clock.after(
-        LONGEST_TURN * turn.prefill.expectedMs + LONGEST_TURN_MS,
+      turn.cancelTimeout = this.options.clock.after(
+        TURN_TIMEOUT_FACTOR * turn.prefill.expectedMs + TURN_TIMEOUT_MARGIN_MS,
         () => {
           this.leave(attemptId);
         },
@@ -117,9 +116,9 @@
     }
   }
 
-  /** The highest priority first, then the first to arrive, of those that need not wait for another one. */
-  private next(): [string, Turn] | undefined {
-    let best: [string, Turn] | undefined;
+  /** Next request by priority, then by arrival, without those that wait for blocks of an active prefill. */
+  private next(): [string, QueuedPrefill] | undefined {
+    let best: [string, QueuedPrefill] | undefined;
     for (const entry of this.waiting) {
       const [, { prefill, start }] = entry;
       if (start === undefined) continue;
@@ -129,12 +128,12 @@
     return best;
   }
 
-  /** Whether a request at the engine computes blocks that a chain needs. */
+  /** Whether an active prefill computes blocks that a chain needs. */
   private isBeingComputed(chain: Chain): boolean {
-    for (const { prefill } of this.going.values()) {
+    for (const { prefill } of this.active.values()) {
       const shared = sharedBlocks(prefill.chain, chain);
-      if (shared < LEAST_SHARED_BLOCKS) continue;
-      if (shared >= this.options.cachedBlocks(chain) + LEAST_SHARED_BLOCKS) return true;
+      if (shared < MIN_SHARED_BLOCKS) continue;
+      if (shared >= this.options.cachedBlocks(chain) + MIN_SHARED_BLOCKS) return true;
     }
     return false;
   }
