--- a/packages/routing/src/bench/decision.ts
+++ b/packages/routing/src/bench/decision.ts
@@ -1,6 +1,6 @@
 /**
- * Measures what a decision costs: `node packages/routing/dist/bench/decision.js [--json]`. Prompt hashing at five
- * lengths, decisions of every policy at four numbers of targets, the block index at four sizes.
+ * Benchmark of routing decisions: `node packages/routing/dist/bench/decision.js [--json]`. Measures prompt hashing at
+ * five lengths, decisions of each policy at four numbers of targets, and the block index at four sizes.
  */
 import { parseArgs } from 'node:util';
 import { measureChain } from './measureChain.js';
@@ -21,7 +21,7 @@
 if (values.json) {
   process.stdout.write(`${JSON.stringify(results, null, 1)}\n`);
 } else {
-  process.stdout.write(`${formatTable('Chain of a prompt', results.chain)}\n`);
-  process.stdout.write(`${formatTable('Decision, without the network', results.decision)}\n`);
+  process.stdout.write(`${formatTable('Prompt hashing', results.chain)}\n`);
+  process.stdout.write(`${formatTable('Routing decision, without network', results.decision)}\n`);
   process.stdout.write(`${formatTable('Block index', results.index)}\n`);
 }
--- a/packages/routing/src/bench/measureChain.ts
+++ b/packages/routing/src/bench/measureChain.ts
@@ -1,4 +1,4 @@
-/** Time to hash a prompt into its chain. */
+/** Measures the time to compute the chain of a prompt. */
 import { performance } from 'node:perf_hooks';
 import { BYTES_PER_TOKEN, createChain } from '../prefix/index.js';
 import { quantile, rounded } from './table.js';
@@ -10,7 +10,7 @@
 
 const namespace = { customer: 'members', model: 'caption', adapter: '', weightsVersion: '1' };
 
-/** One row for each prompt length. */
+/** Returns one row per prompt length. */
 export function measureChain(): Row[] {
   return TOKENS.map((tokens) => {
     const prompt = new Uint8Array(tokens * BYTES_PER_TOKEN).map((_, place) => (place * 31) % 251);
--- a/packages/routing/src/bench/measureDecision.ts
+++ b/packages/routing/src/bench/measureDecision.ts
@@ -1,4 +1,4 @@
-/** Processor time of a decision: probes answer at once, so that no network is in it. */
+/** Measures the CPU time of a decision. Probes are answered at once, so that network time is excluded. */
 import { performance } from 'node:perf_hooks';
 import { systemClock } from '@jasmineroute/core';
 import { policies } from '../policy/index.js';
@@ -11,8 +11,8 @@
 const DECISIONS = 4_000;
 const WARM_UP = 1_000;
 const COLLECTIONS = 200;
-/** Requests that the entry has under way. */
-const UNDER_WAY = 24;
+/** Number of in-flight requests of the entry. */
+const IN_FLIGHT = 24;
 const PREFIX_BYTES = 28_000;
 
 const reading: ProbeReading = {
@@ -59,9 +59,9 @@
   };
 }
 
-async function samplesOf(policy: Policy, targets: readonly Candidate[]): Promise<number[]> {
+async function measurePolicy(policy: Policy, targets: readonly Candidate[]): Promise<number[]> {
   const samples: number[] = [];
-  const underWay: { candidate: Candidate; job: Job }[] = [];
+  const inFlight: { candidate: Candidate; job: Job }[] = [];
   for (let turn = 0; turn < WARM_UP + DECISIONS; turn += 1) {
     const job = jobOf(turn);
     const began = performance.now();
@@ -70,14 +70,14 @@
     if (candidate === undefined) continue;
     policy.dispatched(candidate, job);
     if (turn >= WARM_UP) samples.push((performance.now() - began) * 1_000);
-    underWay.push({ candidate, job });
-    const oldest = underWay.length > UNDER_WAY ? underWay.shift() : undefined;
+    inFlight.push({ candidate, job });
+    const oldest = inFlight.length > IN_FLIGHT ? inFlight.shift() : undefined;
     if (oldest !== undefined) policy.settled({ ...oldest, phase: 'end', ok: true, load: reading.load });
   }
   return samples;
 }
 
-/** One row for each policy and number of targets. */
+/** Returns one row per policy and number of targets. */
 export async function measureDecision(): Promise<Row[]> {
   const rows: Row[] = [];
   for (const name of policies.names()) {
@@ -88,7 +88,7 @@
         seed: 1,
         probe: () => Promise.resolve(reading),
       });
-      const samples = await samplesOf(policy, candidates(count));
+      const samples = await measurePolicy(policy, candidates(count));
       const [p50, p99] = [quantile(samples, 0.5), quantile(samples, 0.99)].map((value) => rounded(value));
       rows.push({ policy: name, targets: count, 'p50 µs': p50 ?? 0, 'p99 µs': p99 ?? 0 });
     }
--- a/packages/routing/src/bench/measureIndex.ts
+++ b/packages/routing/src/bench/measureIndex.ts
@@ -1,4 +1,4 @@
-/** Speed and memory of the block index. */
+/** Measures speed and memory of the block index. */
 import { performance } from 'node:perf_hooks';
 import { BlockIndex } from '../blockIndex/index.js';
 import type { CacheChange } from '../blockIndex/index.js';
@@ -7,7 +7,7 @@
 import type { Row } from './table.js';
 
 const SIZES = [1_600, 16_000, 163_000, 800_000];
-/** Blocks of one stored event, and of one prompt. */
+/** Blocks per stored event, and per prompt. */
 const EVENT_BLOCKS = 4;
 const PROMPT_BLOCKS = 500;
 const LOOKUPS = 400;
@@ -36,7 +36,7 @@
   };
 }
 
-/** Milliseconds that the events take, without making them. */
+/** Milliseconds to apply the events, without the time to create them. */
 function apply(index: BlockIndex, changes: readonly CacheChange[]): number {
   const began = performance.now();
   for (const change of changes) index.apply(change);
@@ -91,7 +91,7 @@
   };
 }
 
-/** One row for each size. The first run of each is thrown away. */
+/** Returns one row per size. For sizes below 100,000 a first run warms up the code and is discarded. */
 export function measureIndex(): Row[] {
   return SIZES.map((size) => {
     if (size < 100_000) measureSize(size);
--- a/packages/routing/src/bench/table.ts
+++ b/packages/routing/src/bench/table.ts
@@ -1,9 +1,9 @@
-/** Text tables of figures. */
+/** Text tables of measurements. */
 
-/** One line: name of the column to its text. */
+/** A row: column names to values. */
 export type Row = Readonly<Record<string, string | number>>;
 
-/** Columns in the order of the first row, padded; numbers to the right. */
+/** Formats a table with the columns of the first row. Numbers are aligned to the right. */
 export function formatTable(title: string, rows: readonly Row[]): string {
   const columns = Object.keys(rows[0] ?? {});
   const widths = columns.map((column) =>
@@ -21,13 +21,13 @@
   return [title, line(columns), ...body, ''].join('\n');
 }
 
-/** The value below which a part (0 to 1) of the sorted samples lie. */
-export function quantile(samples: readonly number[], part: number): number {
+/** Quantile of the samples. @param fraction 0 to 1. */
+export function quantile(samples: readonly number[], fraction: number): number {
   const sorted = [...samples].sort((a, b) => a - b);
-  return sorted[Math.min(sorted.length - 1, Math.floor(part * sorted.length))] ?? 0;
+  return sorted[Math.min(sorted.length - 1, Math.floor(fraction * sorted.length))] ?? 0;
 }
 
-/** Rounded to `digits` places. */
+/** Rounds to `digits` decimal places. */
 export function rounded(value: number, digits = 1): number {
   return Number(value.toFixed(digits));
 }
