--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-/** Routing decisions: which target takes a request, and whether any should. */
+/** Routing decisions: admission control and the choice of a target for a request. */
 export * from './admission/index.js';
 export * from './blockIndex/index.js';
 export * from './fairness/index.js';
--- a/packages/routing/src/testing/setUp.ts
+++ b/packages/routing/src/testing/setUp.ts
@@ -1,4 +1,4 @@
-/** Runs before each file of tests: what a role awaits before it starts. */
+/** Runs before each test file: loads the hash function, as a role does at its start. */
 import { loadHasher } from '../prefix/index.js';
 
 await loadHasher();
