--- a/packages/routing/src/admission/admission.spec.ts
+++ b/packages/routing/src/admission/admission.spec.ts
@@ -174,7 +174,7 @@
     for (let sent = 0; sent < 40; sent += 1) void made.admission.admit(requestOf('members'));
     await flush();
     expect(made.admission.running).toBe(5);
-    for (let told = 0; told < 50; told += 1) made.admission.observe(load);
+    for (let report = 0; report < 50; report += 1) made.admission.observe(load);
     expect(made.admission.running).toBe(20);
   });
 
--- a/packages/routing/src/blockIndex/blockTable.ts
+++ b/packages/routing/src/blockIndex/blockTable.ts
@@ -147,9 +147,9 @@
     const generations = new Uint8Array(entries);
     generations.set(this.generations);
     this.generations = generations;
-    const touched = new Uint8Array(entries);
-    touched.set(this.recentlyUsed);
-    this.recentlyUsed = touched;
+    const recentlyUsed = new Uint8Array(entries);
+    recentlyUsed.set(this.recentlyUsed);
+    this.recentlyUsed = recentlyUsed;
     for (let entry = entries - 1; entry >= before; entry -= 1) this.freeEntries.push(entry);
     this.byChain.rebuild(entries, this.entries(before));
     this.byEngine.rebuild(entries, this.entries(before));
--- a/packages/routing/src/blockIndex/keyIndex.ts
+++ b/packages/routing/src/blockIndex/keyIndex.ts
@@ -31,7 +31,7 @@
   /** Entry number of a key, or -1. */
   find(low: number, high: number): number {
     const { slots, keys } = this;
-    let slot = this.home(low);
+    let slot = this.idealSlot(low);
     for (;;) {
       const held = slots[slot] ?? 0;
       if (held === 0) return -1;
@@ -42,14 +42,14 @@
 
   /** Adds an entry. Its key must be set. */
   add(entry: number): void {
-    let slot = this.home(this.keys.low[entry] ?? 0);
+    let slot = this.idealSlot(this.keys.low[entry] ?? 0);
     while (this.slots[slot] !== 0) slot = this.nextSlot(slot);
     this.slots[slot] = entry + 1;
   }
 
   /** Removes an entry. Its key must still be set. */
   remove(entry: number): void {
-    let slot = this.home(this.keys.low[entry] ?? 0);
+    let slot = this.idealSlot(this.keys.low[entry] ?? 0);
     while (this.slots[slot] !== entry + 1) {
       if (this.slots[slot] === 0) return;
       slot = this.nextSlot(slot);
@@ -69,8 +69,8 @@
     for (;;) {
       const held = slots[slot] ?? 0;
       if (held === 0) break;
-      const idealSlot = this.home(this.keys.low[held - 1] ?? 0);
-      if (this.distance(idealSlot, slot) >= this.distance(hole, slot)) {
+      const ideal = this.idealSlot(this.keys.low[held - 1] ?? 0);
+      if (this.distance(ideal, slot) >= this.distance(hole, slot)) {
         slots[hole] = held;
         hole = slot;
       }
@@ -79,7 +79,7 @@
     slots[hole] = 0;
   }
 
-  private home(low: number): number {
+  private idealSlot(low: number): number {
     return Math.floor(low * UNIT * this.slots.length);
   }
 
--- a/packages/routing/src/policy/popularity.ts
+++ b/packages/routing/src/policy/popularity.ts
@@ -32,10 +32,10 @@
   /** Counts one request under all of its prefixes. */
   record(keys: readonly number[]): void {
     if (this.clock.monotonic() - this.epoch > RESCALE_MS) this.rescale();
-    const newestWeight = this.weight();
-    this.total += newestWeight;
+    const weight = this.weight();
+    this.total += weight;
     for (const key of keys) {
-      for (let row = 0; row < ROWS; row += 1) this.add(row, key, newestWeight);
+      for (let row = 0; row < ROWS; row += 1) this.add(row, key, weight);
     }
   }
 
--- a/packages/routing/src/policy/lowestCost.spec.ts
+++ b/packages/routing/src/policy/weighing.spec.ts
@@ -97,10 +97,10 @@
 
 /** A prompt of 40 blocks shared by all, 80 blocks shared by the collection, and 8 blocks of its own. */
 function jobOf(collection: string, question: string, more: Partial<Job> = {}): Job {
-  const house = Array.from({ length: 40 }, (_, place) => block(`house ${place}`));
+  const common = Array.from({ length: 40 }, (_, place) => block(`house ${place}`));
   const shared = Array.from({ length: 80 }, (_, place) => block(`${collection} ${place}`));
   const own = Array.from({ length: 8 }, (_, place) => block(`${collection} ${question} ${place}`));
-  const text = [...house, ...shared, ...own].join('');
+  const text = [...common, ...shared, ...own].join('');
   const chain = createChain(
     { customer: 'museum-a', model: 'valuation', adapter: '', weightsVersion: '1' },
     new TextEncoder().encode(text),
--- a/packages/routing/src/target/prefillTurns.ts
+++ b/packages/routing/src/target/prefillTurns.ts
@@ -99,9 +99,9 @@
 
   private startNext(): void {
     while (this.active.size < this.options.atOnce) {
-      const findNext = this.next();
-      if (findNext === undefined) return;
-      const [attemptId, turn] = findNext;
+      const next = this.findNext();
+      if (next === undefined) return;
+      const [attemptId, turn] = next;
       this.waiting.delete(attemptId);
       this.active.set(attemptId, turn);
       const { start } = turn;
@@ -117,7 +117,7 @@
   }
 
   /** Next request by priority, then by arrival, without those that wait for blocks of an active prefill. */
-  private next(): [string, QueuedPrefill] | undefined {
+  private findNext(): [string, QueuedPrefill] | undefined {
     let best: [string, QueuedPrefill] | undefined;
     for (const entry of this.waiting) {
       const [, { prefill, start }] = entry;
