--- a/packages/coordination/src/agreement/applier.ts
+++ b/packages/coordination/src/agreement/applier.ts
@@ -11,31 +11,31 @@
 
 const NO_RESULT = new Uint8Array();
 
-/** Entries that are applied at most before the event loop turns. */
-const TURN_ENTRIES = 256;
+/** Entries applied in one turn of the event loop at most. */
+const MAX_ENTRIES_PER_TURN = 256;
 
 /**
- * The same in time, as part of the time between heartbeats: after a restart the whole log is applied at once, and heartbeats
- * must be read and sent meanwhile. Many short turns would make it late on a busy machine, where each brings other work.
+ * Longest turn, as a share of the heartbeat interval. After a restart the whole log is applied, and heartbeats must be read
+ * and sent meanwhile. Much shorter turns would delay the replay on a busy machine, where other work runs between them.
  */
-const TURN_PART = 0.5;
+const MAX_TURN_SHARE = 0.5;
 
-const nextTurn = (): Promise<void> =>
+const yieldToEventLoop = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
 
-/** Hears of each applied index. */
+/** Called with each applied index. */
 export type AppliedListener = (index: bigint) => void;
 
-/** Drives one state machine. */
+/** Applies the log to one state machine. */
 export class Applier {
   lastApplied = 0n;
   readonly listeners = new Set<AppliedListener>();
-  private readonly appliedSome = new Signal();
+  private readonly progressed = new Signal();
   private configuration: Configuration | undefined;
-  private entriesSince = 0;
-  private bytesSince = 0;
+  private entriesSinceSnapshot = 0;
+  private bytesSinceSnapshot = 0;
 
   constructor(
     private readonly replica: Replica,
@@ -43,15 +43,15 @@
     private readonly waiters: Waiters,
   ) {}
 
-  /** Takes over the state of a snapshot. */
+  /** Restores the state of a snapshot. */
   restore(snapshot: Snapshot): void {
     this.machine.restore(snapshot.data);
     this.lastApplied = snapshot.lastIndex;
     this.configuration = snapshot.configuration;
-    this.entriesSince = 0;
-    this.bytesSince = 0;
+    this.entriesSinceSnapshot = 0;
+    this.bytesSinceSnapshot = 0;
     this.waiters.skippedTo(snapshot.lastIndex);
-    this.tell(snapshot.lastIndex);
+    this.notifyListeners(snapshot.lastIndex);
   }
 
   /** Applies entries as they are committed, until the replica stops. */
@@ -63,18 +63,18 @@
     }
   }
 
-  /** Answers a query once all up to `index` is applied; undefined when that takes longer, or there are no queries. */
+  /** Answers a query once all entries up to `index` are applied; undefined on timeout, or when queries are not supported. */
   async query(command: Uint8Array, index: bigint, timeoutMs: number): Promise<Uint8Array | undefined> {
     const { clock, tuning } = this.replica;
-    const endsAt = clock.monotonic() + timeoutMs;
+    const deadline = clock.monotonic() + timeoutMs;
     while (this.lastApplied < index) {
-      if (this.replica.stopped || clock.monotonic() >= endsAt) return undefined;
-      await this.appliedSome.waitFor(clock, tuning.heartbeatMs);
+      if (this.replica.stopped || clock.monotonic() >= deadline) return undefined;
+      await this.progressed.waitFor(clock, tuning.heartbeatMs);
     }
     return this.machine.query?.(command);
   }
 
-  /** The state up to the last applied entry. */
+  /** Snapshot of the state up to the last applied entry. */
   snapshot(): Snapshot {
     const { replica, lastApplied: lastIndex } = this;
     return {
@@ -88,27 +88,31 @@
 
   private async applyAll(): Promise<void> {
     const { replica } = this;
-    await this.applySome();
+    await this.applyBatch();
     if (this.lastApplied >= replica.commitIndex) return;
     while (!replica.stopped && this.lastApplied < replica.commitIndex) {
-      await nextTurn();
-      await this.applySome();
+      await yieldToEventLoop();
+      await this.applyBatch();
     }
-    // Contact with the leader counts only once all that was missed is applied.
+    // Wakes `Contact`: a replica vouches for its state only once all missed entries are applied.
     replica.changed.notify();
   }
 
-  private async applySome(): Promise<void> {
+  private async applyBatch(): Promise<void> {
     const { replica } = this;
-    const endsAt = replica.clock.monotonic() + replica.tuning.heartbeatMs * TURN_PART;
-    for (let applied = 0; applied < TURN_ENTRIES && this.lastApplied < replica.commitIndex; applied += 1) {
+    const deadline = replica.clock.monotonic() + replica.tuning.heartbeatMs * MAX_TURN_SHARE;
+    for (
+      let applied = 0;
+      applied < MAX_ENTRIES_PER_TURN && this.lastApplied < replica.commitIndex;
+      applied += 1
+    ) {
       const entry = replica.entries.at(this.lastApplied + 1n);
       if (entry === undefined) return replica.changed.wait();
       this.apply(entry);
-      if (replica.clock.monotonic() >= endsAt) break;
+      if (replica.clock.monotonic() >= deadline) break;
     }
     replica.metrics.gauge(coordinationMetrics.commitIndex, Number(this.lastApplied));
-    this.appliedSome.notify();
+    this.progressed.notify();
     if (this.isSnapshotDue()) await this.takeSnapshot();
   }
 
@@ -117,33 +121,33 @@
     const result = isCommand ? this.machine.apply(entry.index, entry.command) : NO_RESULT;
     if (entry.kind === EntryKind.CONFIGURATION) this.configuration = entry.configuration;
     this.lastApplied = entry.index;
-    this.entriesSince += 1;
-    this.bytesSince += entry.command.length;
+    this.entriesSinceSnapshot += 1;
+    this.bytesSinceSnapshot += entry.command.length;
     this.waiters.applied(entry.index, entry.term, result);
-    this.tell(entry.index);
+    this.notifyListeners(entry.index);
   }
 
-  private tell(index: bigint): void {
+  private notifyListeners(index: bigint): void {
     for (const listener of this.listeners) listener(index);
   }
 
   private isSnapshotDue(): boolean {
     const { snapshotEntries, snapshotBytes } = this.replica.tuning;
-    return this.entriesSince >= snapshotEntries || this.bytesSince >= snapshotBytes;
+    return this.entriesSinceSnapshot >= snapshotEntries || this.bytesSinceSnapshot >= snapshotBytes;
   }
 
-  /** Keeps the state and drops old entries, but for some that lagging replicas may still ask for. */
+  /** Saves a snapshot and drops old entries, except some that lagging replicas may still need. */
   private async takeSnapshot(): Promise<void> {
     const { replica } = this;
-    this.entriesSince = 0;
-    this.bytesSince = 0;
+    this.entriesSinceSnapshot = 0;
+    this.bytesSinceSnapshot = 0;
     await replica.exclusive(async () => {
       const snapshot = this.snapshot();
       const { retainedEntries, retainedBytes } = replica.tuning;
       const keepFrom = replica.entries.firstWithin(snapshot.lastIndex, retainedEntries, retainedBytes);
       const saved = await replica.storage.saveSnapshot(snapshot, keepFrom, replica.entries.last.index + 1n);
       if (saved.isErr()) {
-        replica.failed(saved.error);
+        replica.handleStorageFailure(saved.error);
         return;
       }
       replica.entries.compact(keepFrom - 1n);
--- a/packages/coordination/src/agreement/configuration.ts
+++ b/packages/coordination/src/agreement/configuration.ts
@@ -1,33 +1,33 @@
-/** Who votes and who learns, and the single steps from one such set to another. */
+/** Configurations of voters and learners, and single-step membership changes. */
 import { create } from '@bufbuild/protobuf';
 import { ConfigurationSchema, VoterSchema } from '../gen/agreement/agreement_pb.js';
 import type { Configuration, Voter } from '../gen/agreement/agreement_pb.js';
 import type { ReplicaAddress } from './options.js';
 
-/** Voters needed for a decision. */
+/** Size of a quorum. */
 export const quorumOf = (voters: number): number => Math.floor(voters / 2) + 1;
 
-/** Whether a replica votes. */
+/** Whether a replica is a voter. */
 export function isVoter(configuration: Configuration | undefined, replicaId: string): boolean {
   return configuration?.voters.some((voter) => voter.replicaId === replicaId) ?? false;
 }
 
-/** All replicas: voters, then learners. */
+/** All members: voters, then learners. */
 export function membersOf(configuration: Configuration | undefined): Voter[] {
   return configuration === undefined ? [] : [...configuration.voters, ...configuration.learners];
 }
 
-/** Whether the replicas for which `holds` is true decide. */
-export function isQuorum(configuration: Configuration, holds: (voter: Voter) => boolean): boolean {
-  return configuration.voters.filter(holds).length >= quorumOf(configuration.voters.length);
+/** Whether the voters for which `isCounted` is true are a quorum. */
+export function isQuorum(configuration: Configuration, isCounted: (voter: Voter) => boolean): boolean {
+  return configuration.voters.filter(isCounted).length >= quorumOf(configuration.voters.length);
 }
 
-/** Makes a replica's entry in a configuration. */
+/** Creates a member of a configuration. */
 export function voter(name: string, address: string, replicaId: string): Voter {
   return create(VoterSchema, { name, address, replicaId });
 }
 
-/** Makes a configuration. */
+/** Creates a configuration. */
 export function configurationOf(
   clusterId: string,
   voters: readonly Voter[],
@@ -36,23 +36,23 @@
   return create(ConfigurationSchema, { clusterId, voters: [...voters], learners: [...learners] });
 }
 
-/** What is known when the next step is chosen. */
-export interface Outlook {
+/** What the leader knows about the replicas when it chooses the next step. */
+export interface MembershipView {
   readonly current: Configuration;
-  readonly wanted: readonly ReplicaAddress[];
+  readonly desired: readonly ReplicaAddress[];
   /** The leader's replica id. */
   readonly self: string;
-  /** Replicas that answered lately at their wanted address, by name. */
+  /** Replicas that answered recently at their desired address, by name. */
   readonly found: ReadonlyMap<string, Voter>;
-  /** Whether a replica has everything that is committed. */
+  /** Whether a replica has all committed entries. */
   readonly isCaughtUp: (replicaId: string) => boolean;
-  /** Whether a replica answered lately. */
+  /** Whether a replica answered recently. */
   readonly isReachable: (replicaId: string) => boolean;
-  /** Whether a replica has given no answer for so long that it counts as lost. */
+  /** Whether a replica has not answered for so long that it counts as lost. */
   readonly isLost: (replicaId: string) => boolean;
 }
 
-type Step = (outlook: Outlook) => Configuration | undefined;
+type Step = (view: MembershipView) => Configuration | undefined;
 
 const without = (members: readonly Voter[], gone: Voter): Voter[] =>
   members.filter((member) => member.replicaId !== gone.replicaId);
@@ -63,32 +63,32 @@
 const withLearners = (current: Configuration, learners: readonly Voter[]): Configuration =>
   configurationOf(current.clusterId, current.voters, learners);
 
-/** A voter or learner that listens at another address now. */
-const readdress: Step = ({ current, found }) => {
+/** Updates the addresses of members that now listen elsewhere. */
+const updateAddress: Step = ({ current, found }) => {
   const isMoved = (member: Voter): boolean => {
-    const now = found.get(member.name);
-    return now?.replicaId === member.replicaId && now.address !== member.address;
+    const discovered = found.get(member.name);
+    return discovered?.replicaId === member.replicaId && discovered.address !== member.address;
   };
   if (!membersOf(current).some(isMoved)) return undefined;
-  const moved = (member: Voter): Voter => (isMoved(member) ? (found.get(member.name) ?? member) : member);
-  return configurationOf(current.clusterId, current.voters.map(moved), current.learners.map(moved));
+  const updated = (member: Voter): Voter => (isMoved(member) ? (found.get(member.name) ?? member) : member);
+  return configurationOf(current.clusterId, current.voters.map(updated), current.learners.map(updated));
 };
 
-/** A learner that is not wanted, or whose name now belongs to another replica. */
-const removeLearner: Step = ({ current, wanted, found }) => {
+/** Removes a learner that is not desired, or whose name now belongs to another replica. */
+const removeLearner: Step = ({ current, desired, found }) => {
   const isStale = (learner: Voter): boolean => {
-    const now = found.get(learner.name);
-    const isWanted = wanted.some(({ name }) => name === learner.name);
-    return !isWanted || (now !== undefined && now.replicaId !== learner.replicaId);
+    const discovered = found.get(learner.name);
+    const isDesired = desired.some(({ name }) => name === learner.name);
+    return !isDesired || (discovered !== undefined && discovered.replicaId !== learner.replicaId);
   };
   const stale = current.learners.find(isStale);
   return stale && withLearners(current, without(current.learners, stale));
 };
 
-/** A wanted replica that is no member: it learns before it votes. */
-const addLearner: Step = ({ current, wanted, found }) => {
+/** Adds a desired replica as a learner; it must catch up before it votes. */
+const addLearner: Step = ({ current, desired, found }) => {
   const ids = new Set(membersOf(current).map((member) => member.replicaId));
-  const missing = wanted
+  const missing = desired
     .map(({ name }) => found.get(name))
     .find((replica) => replica !== undefined && !ids.has(replica.replicaId));
   return missing && withLearners(current, [...current.learners, missing]);
@@ -98,13 +98,14 @@
   !current.voters.some(({ name }) => name === learner.name);
 
 /**
- * A voter in whose place another replica answers: its disk is gone, and it can never vote again. Its successor takes its name in
- * the same step, as it would be forgotten otherwise.
+ * Replaces a voter when a replica with another id answers at its address: the old disk is gone, so the voter can never vote
+ * again. The successor is added as a learner in the same step, because the name would otherwise no longer be in the
+ * configuration.
  */
-const dropReplaced: Step = ({ current, found, isReachable }) => {
+const replaceVoter: Step = ({ current, found, isReachable }) => {
   const replaced = current.voters.find(({ name, replicaId }) => {
-    const now = found.get(name);
-    return now !== undefined && now.replicaId !== replicaId && !isReachable(replicaId);
+    const discovered = found.get(name);
+    return discovered !== undefined && discovered.replicaId !== replicaId && !isReachable(replicaId);
   });
   const successor = replaced && found.get(replaced.name);
   if (replaced === undefined || successor === undefined) return undefined;
@@ -113,25 +114,26 @@
 };
 
 /**
- * A voter that still answers and that another replica of its name is to follow, once that one has caught up. Removed before the
- * successor votes: with the successor added first, a set of four with one lost for good would stop at the next failure.
+ * Removes a voter when a learner of the same name has caught up. The voter is removed before the successor votes: with the
+ * successor added first, four voters, one of them lost for good, would have no quorum after the next failure.
  */
-const removeSuperseded: Step = ({ current, isCaughtUp }) => {
+const removeSupersededVoter: Step = ({ current, isCaughtUp }) => {
   const superseded = current.voters.find((old) =>
     current.learners.some((learner) => learner.name === old.name && isCaughtUp(learner.replicaId)),
   );
   return superseded && withVoters(current, without(current.voters, superseded));
 };
 
-/** Takes the vote from a voter; as a learner it is sent everything, and votes again once it has caught up. */
+/** Demotes a voter to a learner, which still receives all entries and is promoted again once it has caught up. */
 const demote = (current: Configuration, lost: Voter): Configuration =>
   configurationOf(current.clusterId, without(current.voters, lost), [...current.learners, lost]);
 
 /**
- * A lost voter, where another replica has caught up and can vote in its place: for one that comes at another address
- * with a name of its own nothing tells whose successor it is. Before that one votes, as above.
+ * Demotes a lost voter when a learner has caught up and can vote in its place. A successor with a name and address of its own
+ * can't be matched to the voter that it replaces. The voter is demoted before the successor votes, for the same reason as in
+ * `removeSupersededVoter`.
  */
-const demoteReplaced: Step = ({ current, isCaughtUp, isLost }) => {
+const demoteLostForSuccessor: Step = ({ current, isCaughtUp, isLost }) => {
   const isReady = current.learners.some(
     (learner) => isNameFree(current, learner) && isCaughtUp(learner.replicaId),
   );
@@ -140,27 +142,27 @@
 };
 
 /**
- * A lost voter of an even number of them. Left in place it goes on counting: four voters with one gone for good need all
- * that are left, and one disk more stops everything for ever. Taking its vote gives nothing up: with it back or without
- * it, half of the number, among the others, is what a quorum needs. Of an odd number a quorum would be none less.
+ * Demotes a lost voter when the number of voters is even. Four voters with one lost for good need all three others, so one
+ * more lost disk would leave no quorum for ever. Demotion costs nothing: whether the lost voter returns or not, a quorum needs
+ * half of the original number among the others. With an odd number of voters, the quorum would not become smaller.
  */
-const demoteLost: Step = ({ current, isLost }) => {
+const demoteLostVoter: Step = ({ current, isLost }) => {
   if (current.voters.length % 2 === 1) return undefined;
   const lost = current.voters.find(({ replicaId }) => isLost(replicaId));
   return lost && demote(current, lost);
 };
 
 /**
- * A lost learner beside an even number of voters: others have come in its place, as without them the number would be odd.
- * Left in place, each instance that is ever replaced would be called for ever.
+ * Removes a lost learner when the number of voters is even: other replicas have taken its place, as without them the number
+ * would be odd. Otherwise the leader would keep calling every instance that was ever replaced.
  */
-const dropLost: Step = ({ current, isLost }) => {
+const removeLostLearner: Step = ({ current, isLost }) => {
   if (current.voters.length % 2 === 1) return undefined;
   const lost = current.learners.find(({ replicaId }) => isLost(replicaId));
   return lost && withLearners(current, without(current.learners, lost));
 };
 
-/** A learner that has caught up votes. */
+/** Promotes a learner that has caught up to a voter. */
 const promote: Step = ({ current, isCaughtUp }) => {
   const ready = current.learners.find((learner) => {
     return isNameFree(current, learner) && isCaughtUp(learner.replicaId);
@@ -169,81 +171,81 @@
   return configurationOf(current.clusterId, [...current.voters, ready], without(current.learners, ready));
 };
 
-/** A voter that is not wanted, once all wanted ones vote; the leader itself last. */
-const removeVoter: Step = ({ current, wanted, self }) => {
+/** Removes a voter that is not desired, once all desired replicas vote; the leader itself is removed last. */
+const removeVoter: Step = ({ current, desired, self }) => {
   const names = new Set(current.voters.map(({ name }) => name));
-  if (!wanted.every(({ name }) => names.has(name))) return undefined;
-  const unwanted = current.voters.filter((old) => !wanted.some(({ name }) => name === old.name));
-  const gone = unwanted.find((old) => old.replicaId !== self) ?? unwanted[0];
+  if (!desired.every(({ name }) => names.has(name))) return undefined;
+  const undesired = current.voters.filter((old) => !desired.some(({ name }) => name === old.name));
+  const gone = undesired.find((old) => old.replicaId !== self) ?? undesired[0];
   return gone && withVoters(current, without(current.voters, gone));
 };
 
-/** Of steps that are worth the same the first one is taken: a vote is given before others are taken away for good. */
+/** Steps in order of preference, which decides between equally good ones: promotions come before final removals. */
 const steps: readonly Step[] = [
-  dropReplaced,
-  readdress,
+  replaceVoter,
+  updateAddress,
   removeLearner,
   addLearner,
-  removeSuperseded,
-  demoteReplaced,
+  removeSupersededVoter,
+  demoteLostForSuccessor,
   promote,
-  demoteLost,
-  dropLost,
+  demoteLostVoter,
+  removeLostLearner,
   removeVoter,
 ];
 
-/** What a configuration is worth. */
-interface Worth {
-  /** Voters that answer. */
+/** How many failures a configuration tolerates. */
+interface FaultMargin {
+  /** Voters that answered recently. */
   readonly alive: number;
-  /** Voters that a decision needs. */
+  /** Size of the quorum. */
   readonly needed: number;
-  /** Voters that may be lost before there is no quorum; negative: there is none. */
+  /** Voters that may still be lost without losing the quorum; negative if there is none. */
   readonly spare: number;
 }
 
-function worthOf({ voters }: Configuration, { isReachable }: Outlook): Worth {
+function marginOf({ voters }: Configuration, { isReachable }: MembershipView): FaultMargin {
   const alive = voters.filter(({ replicaId }) => isReachable(replicaId)).length;
   const needed = quorumOf(voters.length);
   return { alive, needed, spare: alive - needed };
 }
 
 /**
- * Whether a step may be taken from one configuration to another. One whose own quorum does not answer could never be committed,
- * nor undone. One that needs more voters and leaves no more to spare waits until all voters answer: each slow one would cost
- * the leader its quorum.
+ * Whether a step between two configurations is safe. A configuration whose own quorum does not answer could be neither
+ * committed nor undone. A step that needs a larger quorum without tolerating more losses waits until all voters answer;
+ * otherwise one slow voter could cost the leader its quorum.
  */
-function isTakeable(next: Worth, now: Worth, voters: number): boolean {
+function isSafeStep(next: FaultMargin, now: FaultMargin, voters: number): boolean {
   if (next.spare < 0) return false;
   return next.spare > now.spare || next.needed <= now.needed || now.alive === voters;
 }
 
-const isWorthMore = (a: Worth, b: Worth): boolean =>
+const isBetter = (a: FaultMargin, b: FaultMargin): boolean =>
   a.spare > b.spare || (a.spare === b.spare && a.needed < b.needed);
 
 /**
- * The next single step towards the wanted replicas, or undefined when none is due or safe. At most one voter
- * is added or removed, so that any quorum before and any quorum after share a replica. Of several steps the one is taken that
- * leaves the most voters to spare, and of those the one that needs the fewest.
+ * The next single step towards the desired replicas, or undefined when none is due or safe. A step adds or removes at most
+ * one voter, so that any quorum before it and any quorum after it have a replica in common. Of several possible steps, takes
+ * the one that tolerates the most further losses, then the one with the smallest quorum.
  */
-export function nextStep(outlook: Outlook): Configuration | undefined {
-  const { current } = outlook;
-  const now = worthOf(current, outlook);
-  let best: { readonly next: Configuration; readonly worth: Worth } | undefined;
+export function nextStep(view: MembershipView): Configuration | undefined {
+  const { current } = view;
+  const now = marginOf(current, view);
+  let best: { readonly next: Configuration; readonly margin: FaultMargin } | undefined;
   for (const step of steps) {
-    const next = step(outlook);
+    const next = step(view);
     if (next === undefined) continue;
-    const worth = worthOf(next, outlook);
-    if (!isTakeable(worth, now, current.voters.length)) continue;
-    if (best === undefined || isWorthMore(worth, best.worth)) best = { next, worth };
+    const margin = marginOf(next, view);
+    if (!isSafeStep(margin, now, current.voters.length)) continue;
+    if (best === undefined || isBetter(margin, best.margin)) best = { next, margin };
   }
   return best?.next;
 }
 
-/** Whether the voters are the wanted replicas, and nobody is learning. */
-export function isSettled(current: Configuration, wanted: readonly ReplicaAddress[]): boolean {
-  const isMet = wanted.every(({ name, address }) =>
+/** Whether the voters are exactly the desired replicas and there are no learners. */
+export function isSettled(current: Configuration, desired: readonly ReplicaAddress[]): boolean {
+  const areAllVoting = desired.every(({ name, address }) =>
     current.voters.some((member) => member.name === name && member.address === address),
   );
-  return isMet && current.learners.length === 0 && current.voters.length === wanted.length;
+  return areAllVoting && current.learners.length === 0 && current.voters.length === desired.length;
 }
--- a/packages/coordination/src/agreement/election.ts
+++ b/packages/coordination/src/agreement/election.ts
@@ -1,256 +1,263 @@
-/** Elections: when to stand, how votes are asked for and given. */
+/** Leader election: election timeout, pre-vote, and requesting and granting votes. */
 import { create } from '@bufbuild/protobuf';
 import { coordinationEvents } from '../events.js';
 import { VoteRequestSchema, VoteResponseSchema } from '../gen/agreement/agreement_pb.js';
 import type { VoteRequest, VoteResponse, Voter } from '../gen/agreement/agreement_pb.js';
 import { coordinationMetrics } from '../metrics.js';
 import { quorumOf } from './configuration.js';
-import { Endorsement } from './endorsement.js';
-import type { Candidate } from './endorsement.js';
+import { PreVoteEndorsement } from './preVoteEndorsement.js';
+import type { Candidate } from './preVoteEndorsement.js';
 import type { Position } from './entryLog.js';
 import type { PeerClient } from './peerClient.js';
 import type { Replica } from './replica.js';
 
-/** What a voter did that was asked; `replaced`: another replica answers in its place. */
-type Vote = 'granted' | 'refused' | 'silent' | 'replaced';
+/** Result of a vote request; `replaced`: a replica with another id answered at the voter's address. */
+type VoteResult = 'granted' | 'refused' | 'silent' | 'replaced';
 
-/** Names of the other voters, by what they did. */
-type Ballot = Record<Vote, string[]>;
+/** Names of the other voters by result. */
+type VoteTally = Record<VoteResult, string[]>;
 
-/** The time in which the next candidacy is drawn doubles at most so often. */
-const MAX_DOUBLINGS = 2;
+/** Limit on how many times the range of the election timeout is doubled after lost elections. */
+const MAX_TIMEOUT_DOUBLINGS = 2;
 
-/** One replica's part in elections. */
+/** Runs elections for one replica: stands as a candidate and answers vote requests. */
 export class Election {
-  /** The last vote that was lost and reported. */
-  private told = '';
-  /** Candidacies lost one after the other, and when the last one was lost, by the clock. */
-  private lostCandidacies = 0;
-  private lostAt = -Infinity;
-  /** When this replica last gave its vote to another one, by the clock. */
+  /** Tally of the last failed vote that was logged, as JSON. */
+  private lastReportedTally = '';
+  /** Number of elections lost in a row, and the monotonic time of the last loss. */
+  private lostElections = 0;
+  private lastLostAt = -Infinity;
+  /** Monotonic time at which this replica last granted its vote to another one. */
   private votedAt: number | undefined;
-  private readonly endorsement: Endorsement;
-  /** Whether the next candidacy neither waits nor asks first. */
-  private isUnseated = false;
+  private readonly endorsement: PreVoteEndorsement;
+  /** Whether the next campaign skips the election timeout and the pre-vote. */
+  private isCampaignImmediate = false;
 
   constructor(
     private readonly replica: Replica,
     private readonly peers: PeerClient,
-    private readonly lead: (term: bigint) => Promise<void>,
+    private readonly onElected: (term: bigint) => Promise<void>,
   ) {
-    this.endorsement = new Endorsement(replica.clock, replica.tuning.electionMinMs);
+    this.endorsement = new PreVoteEndorsement(replica.clock, replica.tuning.electionMinMs);
   }
 
-  /** Stands for election whenever no leader was heard for a random time, until the replica stops. */
+  /** Campaigns whenever the election timeout elapses, until the replica stops. */
   async run(): Promise<void> {
     const { replica } = this;
     while (!replica.stopped) {
-      await this.silence();
-      await this.stand();
-      replica.rest();
+      await this.waitForElectionTimeout();
+      await this.campaign();
+      replica.resetElectionTimer();
     }
   }
 
   /**
-   * Stands without waiting or asking first. For a leader that had a quorum a moment ago and met a higher term: that another one
-   * was elected since is unlikely, and no promise depends on it.
+   * Campaigns without the election timeout and the pre-vote. Used by a leader that was deposed by a higher term although a
+   * quorum had just answered it: another leader is unlikely to exist, and safety does not depend on this assumption.
    */
-  standAtOnce(): void {
-    this.isUnseated = true;
+  campaignImmediately(): void {
+    this.isCampaignImmediate = true;
     this.replica.changed.notify();
   }
 
-  /** Answers a candidate. */
+  /** Answers a candidate's vote or pre-vote request. */
   async vote(request: VoteRequest): Promise<VoteResponse> {
     const { replica } = this;
     return replica.exclusive(async () => {
-      const granted = this.mayAnswer(request) && (await this.decide(request));
+      const granted = this.mayVote(request) && (await this.decideVote(request));
       return create(VoteResponseSchema, { term: replica.term, granted, replicaId: replica.id });
     });
   }
 
-  /** Resolves when no leader has been heard for a random time. */
-  private async silence(): Promise<void> {
+  /** Resolves when the election timeout has elapsed. */
+  private async waitForElectionTimeout(): Promise<void> {
     const { replica } = this;
-    const part = replica.random();
-    while (!replica.stopped && !this.isUnseated) {
-      const [leastMs, mostMs] = this.patience();
-      const patience = leastMs + part * (mostMs - leastMs);
-      const left = replica.quietSince + patience - replica.clock.monotonic();
+    const randomFraction = replica.random();
+    while (!replica.stopped && !this.isCampaignImmediate) {
+      const [minMs, maxMs] = this.electionTimeoutRange();
+      const timeoutMs = minMs + randomFraction * (maxMs - minMs);
+      const remainingMs = replica.electionTimerStart + timeoutMs - replica.clock.monotonic();
       if (replica.role === 'leader') await replica.changed.wait();
-      else if (left > 0) await replica.changed.waitFor(replica.clock, left);
+      else if (remainingMs > 0) await replica.changed.waitFor(replica.clock, remainingMs);
       else return;
     }
   }
 
   /**
-   * Shortest and longest silence before an election. The voters stand one after the other, as several at once split the
-   * votes; only after a lost candidacy they draw, and longer each time, as answers that take long need more room between
-   * candidates. A replica that has heard no leader since its start waits less for the first one: when all were killed at once
-   * nobody serves until there is one, and where there is one the others give no votes.
+   * Shortest and longest election timeout, milliseconds. The timeouts are staggered by rank, because several candidates at
+   * once split the votes. After a lost election the timeout is random instead, in a range that doubles with each loss, as
+   * slow answers need more time between candidates. A replica that has had no leader since its start uses a shorter timeout:
+   * when all replicas were killed at once, nothing is served until there is a leader. If there is one, the other replicas
+   * refuse their votes.
    */
-  private patience(): readonly [number, number] {
-    const { tuning, leaderHeardAt } = this.replica;
+  private electionTimeoutRange(): readonly [number, number] {
+    const { tuning, lastLeaderContact } = this.replica;
     const { electionMinMs, electionMaxMs, firstElectionMs, electionStepMs, electionSpreadMs } = tuning;
-    const isOver = leaderHeardAt !== undefined && leaderHeardAt > this.lostAt;
-    if (this.lostCandidacies > 0 && !isOver) {
-      const doublings = Math.min(this.lostCandidacies, MAX_DOUBLINGS);
+    const hasLeaderSinceLoss = lastLeaderContact !== undefined && lastLeaderContact > this.lastLostAt;
+    if (this.lostElections > 0 && !hasLeaderSinceLoss) {
+      const doublings = Math.min(this.lostElections, MAX_TIMEOUT_DOUBLINGS);
       return [electionMinMs, electionMinMs + (electionMaxMs - electionMinMs) * 2 ** doublings];
     }
-    const isFirst = leaderHeardAt === undefined && this.votedAt === undefined;
-    const leastMs = (isFirst ? firstElectionMs : electionMinMs) + this.rank(this.replica.id) * electionStepMs;
-    return [leastMs, leastMs + electionSpreadMs];
+    const isFirst = lastLeaderContact === undefined && this.votedAt === undefined;
+    const minMs = (isFirst ? firstElectionMs : electionMinMs) + this.rank(this.replica.id) * electionStepMs;
+    return [minMs, minMs + electionSpreadMs];
   }
 
-  /** Place of a replica among the voters without the leader that was lost; others come last. */
+  /** Position of a replica among the voters, leaving out the lost leader; replicas that are not voters come last. */
   private rank(id: string): number {
     const { configuration, leader } = this.replica;
     const voters = (configuration?.voters ?? []).filter(({ name }) => name !== leader);
-    const at = voters.findIndex(({ replicaId }) => replicaId === id);
-    return at < 0 ? voters.length : at;
+    const position = voters.findIndex(({ replicaId }) => replicaId === id);
+    return position < 0 ? voters.length : position;
   }
 
   /**
-   * Asks first whether votes would be given: a replica that was cut off would otherwise come back with a term
-   * raised by its lonely candidacies and unseat a leader that works.
+   * Runs one election, preceded by a pre-vote. Without the pre-vote, a replica that was isolated would return with a term
+   * raised by its failed campaigns and depose a working leader.
    */
-  private async stand(): Promise<void> {
-    const { replica, isUnseated } = this;
-    this.isUnseated = false;
-    const isAbstaining = replica.clock.monotonic() < replica.abstainUntil;
+  private async campaign(): Promise<void> {
+    const { replica, isCampaignImmediate: isImmediate } = this;
+    this.isCampaignImmediate = false;
+    const isAbstaining = replica.clock.monotonic() < replica.noCandidacyUntil;
     if (replica.stopped || !replica.isVoter || isAbstaining) return;
-    const askedAt = replica.clock.monotonic();
+    const startedAt = replica.clock.monotonic();
     if (!this.endorsement.support(this.candidate(replica.id, replica.entries.last))) return;
     const term = replica.term + 1n;
-    if (!isUnseated && !(await this.gather(term, true))) return;
-    const isBegun = await replica.exclusive(() => this.begin(term, askedAt));
-    if (!isBegun) return;
-    const isWon = await this.gather(term, false);
-    this.noteCandidacy(isWon);
+    if (!isImmediate && !(await this.requestVotes(term, true))) return;
+    const isStarted = await replica.exclusive(() => this.startElection(term, startedAt));
+    if (!isStarted) return;
+    const isWon = await this.requestVotes(term, false);
+    this.recordElectionResult(isWon);
     if (replica.term !== term || replica.role !== 'candidate') return;
-    if (isWon) await this.lead(term);
+    if (isWon) await this.onElected(term);
     else replica.becomeFollower('not elected');
   }
 
-  private noteCandidacy(isWon: boolean): void {
-    this.lostCandidacies = isWon ? 0 : this.lostCandidacies + 1;
-    if (!isWon) this.lostAt = this.replica.clock.monotonic();
+  private recordElectionResult(isWon: boolean): void {
+    this.lostElections = isWon ? 0 : this.lostElections + 1;
+    if (!isWon) this.lastLostAt = this.replica.clock.monotonic();
   }
 
   /**
-   * Raises the term and votes for itself. Returns false when a leader, or a candidate that has this one's vote or endorsement,
-   * came first since the others were asked, or when the term moved on: they were asked about `term`, and a candidate of a
-   * later one would unseat whoever is elected in it.
+   * Increments the term and votes for itself. Returns false when, since the campaign started, a leader has appeared, this
+   * replica has granted its vote or endorsed another candidate, or the term has changed. The pre-vote was for `term`; a
+   * campaign in a later term would depose a leader elected in `term`.
    */
-  private async begin(term: bigint, askedAt: number): Promise<boolean> {
+  private async startElection(term: bigint, campaignStartedAt: number): Promise<boolean> {
     const { replica } = this;
-    if (replica.role !== 'follower' || this.hearsLeader()) return false;
-    if (this.votedAt !== undefined && this.votedAt >= askedAt) return false;
+    if (replica.role !== 'follower' || this.hasLeaderContact()) return false;
+    if (this.votedAt !== undefined && this.votedAt >= campaignStartedAt) return false;
     if (replica.term + 1n !== term) return false;
     if (!this.endorsement.wasOf(replica.id)) return false;
     replica.log.event(coordinationEvents.campaign, { term: term.toString() });
     replica.metrics.count(coordinationMetrics.elections);
-    const saved = await replica.save({ term, votedFor: replica.id });
+    const saved = await replica.saveState({ term, votedFor: replica.id });
     if (saved.isErr()) return false;
     replica.role = 'candidate';
     replica.leader = undefined;
     return true;
   }
 
-  /** Asks all voters; resolves true at a quorum of votes, false once it can't be reached. */
-  private gather(term: bigint, probe: boolean): Promise<boolean> {
+  /** Requests votes from all other voters; resolves true at a quorum of votes, false once a quorum is out of reach. */
+  private requestVotes(term: bigint, isPreVote: boolean): Promise<boolean> {
     const { replica } = this;
     const voters = replica.configuration?.voters ?? [];
     const others = voters.filter((voter) => voter.replicaId !== replica.id);
     const needed = quorumOf(voters.length) - 1;
     if (needed <= 0) return Promise.resolve(true);
     return new Promise((resolve, reject) => {
-      const ballot: Ballot = { granted: [], refused: [], silent: [], replaced: [] };
-      const asked = others.map(async (voter) => {
-        const vote = await this.ask(voter, term, probe);
-        ballot[vote].push(voter.name);
-        const open = others.length - Object.values(ballot).flat().length;
-        if (ballot.granted.length >= needed) resolve(true);
-        else if (ballot.granted.length + open < needed) resolve(false);
+      const tally: VoteTally = { granted: [], refused: [], silent: [], replaced: [] };
+      const requests = others.map(async (voter) => {
+        const result = await this.requestVote(voter, term, isPreVote);
+        tally[result].push(voter.name);
+        const outstanding = others.length - Object.values(tally).flat().length;
+        if (tally.granted.length >= needed) resolve(true);
+        else if (tally.granted.length + outstanding < needed) resolve(false);
       });
-      Promise.all(asked).then(() => {
-        if (ballot.granted.length < needed) this.reportLost(ballot, voters.length);
+      Promise.all(requests).then(() => {
+        if (tally.granted.length < needed) this.reportTooFewVotes(tally, voters.length);
       }, reject);
     });
   }
 
-  /** Told when it changes only: without a quorum the voters are asked again several times a second. */
-  private reportLost(ballot: Ballot, voters: number): void {
+  /** Logs a failed vote only when the tally changes, as without a quorum votes are requested several times a second. */
+  private reportTooFewVotes(tally: VoteTally, voters: number): void {
     const { replica } = this;
-    const told = JSON.stringify(ballot);
-    if (told === this.told) return;
-    this.told = told;
-    replica.log.event(coordinationEvents.tooFewVotes, { ...ballot, voters, needed: quorumOf(voters) });
+    const serialized = JSON.stringify(tally);
+    if (serialized === this.lastReportedTally) return;
+    this.lastReportedTally = serialized;
+    replica.log.event(coordinationEvents.tooFewVotes, { ...tally, voters, needed: quorumOf(voters) });
   }
 
-  /** Asks one voter. A vote of another replica under the voter's name does not count. */
-  private async ask(voter: Voter, term: bigint, probe: boolean): Promise<Vote> {
+  /** Requests one vote. An answer from a replica with another id at the voter's address does not count. */
+  private async requestVote(voter: Voter, term: bigint, isPreVote: boolean): Promise<VoteResult> {
     const { replica } = this;
     const { index: lastIndex, term: lastTerm } = replica.entries.last;
     const { clusterId, name: candidate, id: replicaId } = replica;
-    const request = { clusterId, candidate, replicaId, term, lastIndex, lastTerm, probe };
+    const request = { clusterId, candidate, replicaId, term, lastIndex, lastTerm, probe: isPreVote };
     const answer = await this.peers.call(voter.address, (client, signal) =>
       client.vote(create(VoteRequestSchema, request), { signal }),
     );
     if (answer.isErr()) return 'silent';
-    const { granted, term: theirs, replicaId: answering } = answer.value;
-    if (answering !== voter.replicaId) return 'replaced';
-    if (!granted && theirs > replica.term) await replica.exclusive(() => this.observe(theirs));
+    const { granted, term: voterTerm, replicaId: voterId } = answer.value;
+    if (voterId !== voter.replicaId) return 'replaced';
+    if (!granted && voterTerm > replica.term)
+      await replica.exclusive(() => this.observeUnlessLeading(voterTerm));
     return granted ? 'granted' : 'refused';
   }
 
-  /** A late refusal may find this replica elected: its term then ends with the answers to its messages, or not at all. */
-  private async observe(term: bigint): Promise<void> {
+  /**
+   * A refusal may arrive after this replica was elected. It is ignored then: a leader learns of a higher term from the answers
+   * to its own messages.
+   */
+  private async observeUnlessLeading(term: bigint): Promise<void> {
     if (this.replica.role !== 'leader') await this.replica.observeTerm(term);
   }
 
   /**
-   * A replica that hears a leader gives no votes: it knows that none is needed, and a removed replica that was
-   * never told keeps asking.
+   * Refuses all votes while there is contact with a leader. Otherwise a removed replica that has not learned of its removal
+   * would keep disrupting the cluster with vote requests.
    */
-  private mayAnswer(request: VoteRequest): boolean {
+  private mayVote(request: VoteRequest): boolean {
     const { replica } = this;
-    const isOurs = replica.clusterId !== '' && request.clusterId === replica.clusterId;
-    return isOurs && request.replicaId !== '' && (this.isOfLeader(request) || !this.hearsLeader());
+    const isSameCluster = replica.clusterId !== '' && request.clusterId === replica.clusterId;
+    return (
+      isSameCluster && request.replicaId !== '' && (this.isFromLeader(request) || !this.hasLeaderContact())
+    );
   }
 
-  /** Whether the candidate is the leader that this replica follows, which has stepped down then. */
-  private isOfLeader({ replicaId }: VoteRequest): boolean {
+  /** Whether the candidate is the leader that this replica follows; its request shows that it has stepped down. */
+  private isFromLeader({ replicaId }: VoteRequest): boolean {
     const { configuration, leader, role } = this.replica;
     if (role !== 'follower') return false;
     const voters = configuration?.voters ?? [];
     return voters.some((voter) => voter.name === leader && voter.replicaId === replicaId);
   }
 
-  private hearsLeader(): boolean {
+  private hasLeaderContact(): boolean {
     const { replica } = this;
     if (replica.role === 'leader') return true;
-    if (replica.leaderHeardAt === undefined) return false;
-    return replica.clock.monotonic() - replica.leaderHeardAt < replica.tuning.electionMinMs;
+    if (replica.lastLeaderContact === undefined) return false;
+    return replica.clock.monotonic() - replica.lastLeaderContact < replica.tuning.electionMinMs;
   }
 
-  private async decide(request: VoteRequest): Promise<boolean> {
+  private async decideVote(request: VoteRequest): Promise<boolean> {
     const { replica } = this;
     const last = { index: request.lastIndex, term: request.lastTerm };
     const isUpToDate = replica.entries.isCoveredBy(last);
     if (request.probe) {
-      const mayWin = isUpToDate && request.term > replica.term && !this.isElecting(request);
+      const mayWin = isUpToDate && request.term > replica.term && !this.isElectingAnother(request);
       return mayWin && this.endorsement.support(this.candidate(request.replicaId, last));
     }
     if (request.term < replica.term) return false;
-    const moved = await replica.observeTerm(request.term);
-    if (moved.isErr() || !isUpToDate) return false;
-    const isFree = replica.votedFor === '' || replica.votedFor === request.replicaId;
-    if (!isFree) return false;
-    const saved = await replica.save({ votedFor: request.replicaId });
+    const observed = await replica.observeTerm(request.term);
+    if (observed.isErr() || !isUpToDate) return false;
+    const isVoteAvailable = replica.votedFor === '' || replica.votedFor === request.replicaId;
+    if (!isVoteAvailable) return false;
+    const saved = await replica.saveState({ votedFor: request.replicaId });
     if (saved.isErr()) return false;
     this.votedAt = replica.clock.monotonic();
-    replica.rest();
+    replica.resetElectionTimer();
     return true;
   }
 
@@ -258,8 +265,8 @@
     return { replicaId, last, rank: this.rank(replicaId) };
   }
 
-  /** Whether another replica than the asking one is being elected: one more candidate would unseat it at once. */
-  private isElecting({ replicaId }: VoteRequest): boolean {
+  /** Whether another candidate is being elected, which a further candidate would depose at once. */
+  private isElectingAnother({ replicaId }: VoteRequest): boolean {
     const { role, clock, tuning, votedFor } = this.replica;
     if (role === 'candidate') return true;
     if (this.votedAt === undefined || votedFor === replicaId) return false;
--- a/packages/coordination/src/agreement/entryLog.ts
+++ b/packages/coordination/src/agreement/entryLog.ts
@@ -1,4 +1,4 @@
-/** The log in memory: the entries behind a base that a snapshot covers. */
+/** The log in memory: the entries after the base, the last position covered by a snapshot. */
 import type { Configuration, Entry } from '../gen/agreement/agreement_pb.js';
 import { EntryKind } from '../gen/agreement/agreement_pb.js';
 
@@ -8,20 +8,20 @@
   readonly term: bigint;
 }
 
-/** A configuration and the entry that brought it. */
-export interface InstalledConfiguration {
+/** A configuration and the index of the entry that contains it. */
+export interface LoggedConfiguration {
   readonly index: bigint;
   readonly configuration?: Configuration;
 }
 
-/** Entries without a gap, in memory. */
+/** Consecutive entries in memory. */
 export class EntryLog {
   private entries: Entry[] = [];
   private base: Position = { index: 0n, term: 0n };
   private baseConfiguration: Configuration | undefined;
-  private newest: InstalledConfiguration = { index: 0n, configuration: undefined };
+  private newestConfiguration: LoggedConfiguration = { index: 0n, configuration: undefined };
 
-  /** Last position before the first entry held. */
+  /** The base: the last position before the first entry in memory. */
   get start(): Position {
     return this.base;
   }
@@ -32,37 +32,37 @@
     return entry === undefined ? this.base : { index: entry.index, term: entry.term };
   }
 
-  /** The newest configuration in the log, committed or not. */
-  configuration(): InstalledConfiguration {
-    return this.newest;
+  /** The latest configuration in the log, committed or not. */
+  configuration(): LoggedConfiguration {
+    return this.newestConfiguration;
   }
 
-  /** The configuration as of an index held. */
+  /** The configuration in effect at an index in memory. */
   configurationAt(index: bigint): Configuration | undefined {
     const isBefore = (entry: Entry): boolean =>
       entry.kind === EntryKind.CONFIGURATION && entry.index <= index;
     return this.entries.findLast(isBefore)?.configuration ?? this.baseConfiguration;
   }
 
-  /** The entry at an index, if held. */
+  /** The entry at an index, if it is in memory. */
   at(index: bigint): Entry | undefined {
     const offset = Number(index - this.base.index) - 1;
     return offset < 0 ? undefined : this.entries[offset];
   }
 
-  /** Term at an index; undefined when it lies before the base or behind the end. */
+  /** Term at an index; undefined before the base and after the end. */
   termAt(index: bigint): bigint | undefined {
     if (index === this.base.index) return this.base.term;
     return this.at(index)?.term;
   }
 
-  /** Whether a log that ends at `other` holds everything that may be committed here. */
+  /** Whether a log that ends at `other` is at least as up-to-date as this one (Raft, section 5.4.1). */
   isCoveredBy(other: Position): boolean {
     const { index, term } = this.last;
     return other.term > term || (other.term === term && other.index >= index);
   }
 
-  /** Entries from an index on, bounded in number and bytes of commands; at least one if there is one. */
+  /** Entries from an index on, limited in number and in bytes of commands; at least one if there is one. */
   slice(from: bigint, maxEntries: number, maxBytes: number): Entry[] {
     const start = Number(from - this.base.index) - 1;
     const candidates = this.entries.slice(start, start + maxEntries);
@@ -74,7 +74,7 @@
     return end < 0 ? candidates : candidates.slice(0, end);
   }
 
-  /** Bytes of the commands behind an index. */
+  /** Bytes of the commands after an index. */
   bytesAfter(index: bigint): number {
     const start = Math.max(0, Number(index - this.base.index));
     let bytes = 0;
@@ -82,7 +82,7 @@
     return bytes;
   }
 
-  /** The first index from which on the entries up to `last` are bounded in number and bytes of commands. */
+  /** The first index from which the entries up to `last` keep the limits on number and bytes of commands. */
   firstWithin(last: bigint, maxEntries: number, maxBytes: number): bigint {
     let first = last + 1n;
     let bytes = 0;
@@ -98,17 +98,17 @@
   append(entries: readonly Entry[]): void {
     for (const entry of entries) {
       this.entries.push(entry);
-      if (entry.kind === EntryKind.CONFIGURATION) this.newest = entry;
+      if (entry.kind === EntryKind.CONFIGURATION) this.newestConfiguration = entry;
     }
   }
 
-  /** Drops entries from an index on. */
+  /** Removes the entries from an index on. */
   truncate(index: bigint): void {
     this.entries.length = Math.max(0, Number(index - this.base.index) - 1);
-    this.findNewest();
+    this.updateNewestConfiguration();
   }
 
-  /** Moves the base to an index held. */
+  /** Moves the base forward to an index in memory and drops the entries up to it. */
   compact(index: bigint): void {
     const term = this.termAt(index);
     if (term === undefined || index <= this.base.index) return;
@@ -116,18 +116,18 @@
     this.entries = this.entries.slice(Number(index - this.base.index));
     this.base = { index, term };
     this.baseConfiguration = configuration;
-    this.findNewest();
+    this.updateNewestConfiguration();
   }
 
-  /** Starts over behind a snapshot. */
+  /** Replaces the log by an empty one after a snapshot. */
   reset(base: Position, configuration: Configuration | undefined): void {
     this.entries = [];
     this.base = base;
     this.baseConfiguration = configuration;
-    this.findNewest();
+    this.updateNewestConfiguration();
   }
 
-  /** First index of the run of equal terms that an index lies in. */
+  /** Index of the first entry in memory with the same term as an index. */
   startOfTerm(index: bigint): bigint {
     const term = this.termAt(index);
     let first = index;
@@ -135,8 +135,8 @@
     return first;
   }
 
-  private findNewest(): void {
+  private updateNewestConfiguration(): void {
     const entry = this.entries.findLast(({ kind }) => kind === EntryKind.CONFIGURATION);
-    this.newest = entry ?? { index: this.base.index, configuration: this.baseConfiguration };
+    this.newestConfiguration = entry ?? { index: this.base.index, configuration: this.baseConfiguration };
   }
 }
--- a/packages/coordination/src/agreement/follower.ts
+++ b/packages/coordination/src/agreement/follower.ts
@@ -1,4 +1,4 @@
-/** The receiving side of replication: entries and snapshots from the leader. */
+/** Receiving side of replication: handles entries and snapshots from the leader. */
 import { create } from '@bufbuild/protobuf';
 import type { Fault } from '@jasmineroute/core';
 import type { Result } from 'neverthrow';
@@ -14,30 +14,31 @@
 import type { Snapshot } from '../storage/index.js';
 import type { Replica } from './replica.js';
 
-/** What both messages of a leader carry. */
+/** Fields common to append and install requests. */
 type LeaderMessage = Pick<AppendRequest, 'clusterId' | 'leader' | 'term' | 'replicaId'>;
 
-/** A snapshot that is being received. */
-interface Receipt {
+/** A snapshot of which some pieces have been received. */
+interface PartialSnapshot {
   readonly lastIndex: bigint;
   readonly term: bigint;
   readonly pieces: Uint8Array[];
   bytes: number;
 }
 
-/** Outcome of the written part of an append: up to where the log is the leader's, or where to try next. */
-interface Match {
+/** Result of an append before its sync. */
+interface AppendResult {
   readonly success: boolean;
+  /** On success, the index up to which the log matches the leader's; otherwise the index after which it tries next. */
   readonly index: bigint;
 }
 
-const least = (a: bigint, b: bigint): bigint => (a < b ? a : b);
+const min = (a: bigint, b: bigint): bigint => (a < b ? a : b);
 
-/** One replica's part as a follower. */
+/** Handles the messages of a leader for one replica. */
 export class Follower {
-  /** Highest commit index that a leader told of. */
-  leaderCommit = 0n;
-  private receipt: Receipt | undefined;
+  /** Highest commit index received from a leader. */
+  leaderCommitIndex = 0n;
+  private partialSnapshot: PartialSnapshot | undefined;
 
   constructor(
     private readonly replica: Replica,
@@ -45,26 +46,26 @@
   ) {}
 
   /**
-   * Takes entries; answers success only for what is synced. A heartbeat does not wait for a sync: a slow disk
-   * must not look like a dead connection.
+   * Appends entries; acknowledges only synced ones. A heartbeat does not wait for a sync, so that a slow disk does not look
+   * like a dead connection.
    */
   async append(request: AppendRequest): Promise<AppendResponse> {
     const { replica } = this;
-    const match = await replica.exclusive(() => this.take(request));
-    if (!match.success) return this.answer(false, match.index);
-    if (request.entries.length === 0) return this.answer(true, least(match.index, replica.syncedIndex));
-    const synced = await replica.syncEntries(match.index);
-    // While the sync ran, a leader of a later term may have replaced these entries.
+    const result = await replica.exclusive(() => this.appendVerified(request));
+    if (!result.success) return this.answer(false, result.index);
+    if (request.entries.length === 0) return this.answer(true, min(result.index, replica.syncedIndex));
+    const synced = await replica.syncEntries(result.index);
+    // A leader of a later term may have replaced these entries while the sync ran.
     const isCurrent = synced.isOk() && replica.term === request.term;
-    return this.answer(isCurrent, isCurrent ? match.index : replica.commitIndex);
+    return this.answer(isCurrent, isCurrent ? result.index : replica.commitIndex);
   }
 
-  /** Takes one piece of a snapshot; the last one puts it in place. */
+  /** Receives one piece of a snapshot; the last piece installs it. */
   async install(request: InstallRequest): Promise<InstallResponse> {
     const { replica } = this;
     const success = await replica.exclusive(async () => {
-      if (!(await this.accepts(request))) return false;
-      return this.takePiece(request);
+      if (!(await this.acceptLeader(request))) return false;
+      return this.addPiece(request);
     });
     return create(InstallResponseSchema, { term: replica.term, success });
   }
@@ -74,15 +75,18 @@
     return create(AppendResponseSchema, { term, success, matchIndex, replicaId });
   }
 
-  /** Whether the message is of a current leader of this cluster, and meant for this replica. */
-  private async accepts(message: LeaderMessage): Promise<boolean> {
+  /**
+   * Whether the message is from a current leader of this cluster and addressed to this replica. If so, adopts its term and
+   * cluster, and resets the election timer.
+   */
+  private async acceptLeader(message: LeaderMessage): Promise<boolean> {
     const { replica } = this;
-    const isForeign = replica.clusterId !== '' && message.clusterId !== replica.clusterId;
-    if (isForeign || message.replicaId !== replica.id) return false;
+    const isOtherCluster = replica.clusterId !== '' && message.clusterId !== replica.clusterId;
+    if (isOtherCluster || message.replicaId !== replica.id) return false;
     if (message.term < replica.term) return false;
     const joined = await replica.adoptCluster(message.clusterId);
-    const moved = await replica.observeTerm(message.term);
-    if (joined.isErr() || moved.isErr()) return false;
+    const observed = await replica.observeTerm(message.term);
+    if (joined.isErr() || observed.isErr()) return false;
     if (replica.role === 'candidate') replica.becomeFollower('a leader was elected');
     if (replica.leader !== message.leader) {
       replica.leader = message.leader;
@@ -92,72 +96,72 @@
       });
       replica.changed.notify();
     }
-    replica.rest();
-    replica.leaderHeardAt = replica.clock.monotonic();
+    replica.resetElectionTimer();
+    replica.lastLeaderContact = replica.clock.monotonic();
     return true;
   }
 
-  private async take(request: AppendRequest): Promise<Match> {
+  private async appendVerified(request: AppendRequest): Promise<AppendResult> {
     const { replica } = this;
     const { entries } = replica;
-    if (!(await this.accepts(request))) return { success: false, index: entries.last.index };
-    if (request.commitIndex > this.leaderCommit) this.leaderCommit = request.commitIndex;
+    if (!(await this.acceptLeader(request))) return { success: false, index: entries.last.index };
+    if (request.commitIndex > this.leaderCommitIndex) this.leaderCommitIndex = request.commitIndex;
     const { previousIndex } = request;
-    const isBehindBase = previousIndex < entries.start.index;
-    if (!isBehindBase && entries.termAt(previousIndex) !== request.previousTerm) {
-      return { success: false, index: this.backUp(previousIndex) };
+    const isBeforeLogStart = previousIndex < entries.start.index;
+    if (!isBeforeLogStart && entries.termAt(previousIndex) !== request.previousTerm) {
+      return { success: false, index: this.conflictIndex(previousIndex) };
     }
     const end = previousIndex + BigInt(request.entries.length);
-    const written = await this.write(request.entries);
+    const written = await this.appendMissing(request.entries);
     if (written.isErr()) return { success: false, index: replica.commitIndex };
-    // What a snapshot covers is committed, so the leader has it too.
+    // Entries covered by a snapshot are committed, so the leader has them too.
     const index = end > entries.start.index ? end : entries.start.index;
-    replica.commitTo(least(request.commitIndex, index));
+    replica.commitTo(min(request.commitIndex, index));
     return { success: true, index };
   }
 
-  /** Where the leader tries next: before the whole run of the conflicting term, not one entry at a time. */
-  private backUp(previousIndex: bigint): bigint {
+  /** Index after which the leader tries next: skips all entries of the conflicting term, instead of one per message. */
+  private conflictIndex(previousIndex: bigint): bigint {
     const { entries, commitIndex } = this.replica;
     if (previousIndex > entries.last.index) return entries.last.index;
     const before = entries.startOfTerm(previousIndex) - 1n;
     return before > commitIndex ? before : commitIndex;
   }
 
-  private async write(received: readonly Entry[]): Promise<Result<void, Fault>> {
+  private async appendMissing(received: readonly Entry[]): Promise<Result<void, Fault>> {
     const { replica } = this;
     const { entries } = replica;
     const isHeld = ({ index, term }: Entry): boolean =>
       index <= entries.start.index || entries.termAt(index) === term;
     const position = received.findIndex((entry) => !isHeld(entry));
-    const fresh = position < 0 ? [] : received.slice(position);
-    const [head] = fresh;
-    if (head !== undefined && head.index <= entries.last.index) {
-      const cut = await replica.truncateEntries(head.index);
-      if (cut.isErr()) return cut;
+    const missing = position < 0 ? [] : received.slice(position);
+    const [firstMissing] = missing;
+    if (firstMissing !== undefined && firstMissing.index <= entries.last.index) {
+      const truncated = await replica.truncateEntries(firstMissing.index);
+      if (truncated.isErr()) return truncated;
     }
-    return replica.appendEntries(fresh);
+    return replica.appendEntries(missing);
   }
 
-  private async takePiece(request: InstallRequest): Promise<boolean> {
+  private async addPiece(request: InstallRequest): Promise<boolean> {
     if (request.lastIndex <= this.replica.commitIndex) return true;
     const { term, lastIndex } = request;
-    if (request.offset === 0n) this.receipt = { term, lastIndex, pieces: [], bytes: 0 };
-    const { receipt } = this;
-    if (receipt?.lastIndex !== lastIndex || receipt.term !== term) return false;
-    if (BigInt(receipt.bytes) !== request.offset) return false;
-    receipt.pieces.push(request.data);
-    receipt.bytes += request.data.length;
+    if (request.offset === 0n) this.partialSnapshot = { term, lastIndex, pieces: [], bytes: 0 };
+    const { partialSnapshot } = this;
+    if (partialSnapshot?.lastIndex !== lastIndex || partialSnapshot.term !== term) return false;
+    if (BigInt(partialSnapshot.bytes) !== request.offset) return false;
+    partialSnapshot.pieces.push(request.data);
+    partialSnapshot.bytes += request.data.length;
     if (!request.done) return true;
-    this.receipt = undefined;
-    return this.putInPlace({ ...request, data: Buffer.concat(receipt.pieces) });
+    this.partialSnapshot = undefined;
+    return this.installSnapshot({ ...request, data: Buffer.concat(partialSnapshot.pieces) });
   }
 
-  private async putInPlace(snapshot: Snapshot): Promise<boolean> {
+  private async installSnapshot(snapshot: Snapshot): Promise<boolean> {
     const { replica } = this;
     const saved = await replica.storage.installSnapshot(snapshot);
     if (saved.isErr()) {
-      replica.failed(saved.error);
+      replica.handleStorageFailure(saved.error);
       return false;
     }
     const base = { index: snapshot.lastIndex, term: snapshot.lastTerm };
--- a/packages/coordination/src/agreement/index.ts
+++ b/packages/coordination/src/agreement/index.ts
@@ -1,4 +1,4 @@
-/** Agreement between replicas: the replicated log. */
+/** The replicated log: elections, replication and membership changes. */
 export { tuning } from './options.js';
 export type { ReplicaAddress, ReplicatedLogOptions, Tuning } from './options.js';
 export { ReplicatedLog } from './replicatedLog.js';
--- a/packages/coordination/src/agreement/joining.ts
+++ b/packages/coordination/src/agreement/joining.ts
@@ -1,4 +1,4 @@
-/** First start of a cluster, and return of a replica whose disk is empty. */
+/** Founding a cluster, and joining one with an empty disk. */
 import { create } from '@bufbuild/protobuf';
 import { newId } from '@jasmineroute/core';
 import { coordinationEvents } from '../events.js';
@@ -15,10 +15,10 @@
 import type { Replica } from './replica.js';
 import { WITHOUT_DISK } from './withoutDisk.js';
 
-/** Term of the founding entry; elections use later ones. */
+/** Term of the first entry of a cluster; elections use later terms. */
 const FOUNDING_TERM = 1n;
 
-/** What status reports say of a replica, filled into answers. */
+/** Status of a replica, included in join answers. */
 export type Report = Pick<JoinResponse, 'state' | 'term' | 'commitIndex' | 'lastApplied' | 'vouched'>;
 
 const sortedNames = (members: readonly { name: string }[]): string =>
@@ -27,76 +27,76 @@
     .sort()
     .join(' ');
 
-/** Names of those that answered that they have no disk. */
+/** Names of the processes that answered that they have no disk. */
 const namesWithoutDisk = (answers: readonly (JoinResponse | undefined)[]): string[] =>
   answers.flatMap((answer) => (answer?.state === WITHOUT_DISK ? [answer.replica?.name ?? ''] : []));
 
-/** One replica's way into a cluster. */
+/** Joins a replica to a cluster, or founds one. */
 export class Joining {
   constructor(
     private readonly replica: Replica,
     private readonly peers: PeerClient,
-    private readonly initial: readonly ReplicaAddress[],
+    private readonly initialReplicas: readonly ReplicaAddress[],
     private readonly report: () => Report,
   ) {}
 
   /**
-   * Looks for a cluster to belong to, until there is one. A cluster is founded only when all its initial
-   * replicas answer, and all are empty or have no disk: with fewer, an absent one could hold the log of an older
-   * cluster, and its accepted commands would be forgotten. Only the lowest name founds, so that no two are founded.
+   * Tries to join or found a cluster until the replica belongs to one. A cluster is founded only when all its initial replicas
+   * answer and all are empty or have no disk: an absent one could hold the log of an older cluster, whose committed commands
+   * would be lost. Only the replica with the lowest name founds a cluster, so that there is only one.
    */
   async run(): Promise<void> {
     const { replica } = this;
     while (!replica.stopped && replica.clusterId === '') {
-      const answers = await this.askAll();
-      await this.consider(answers);
+      const answers = await this.identifyAll();
+      await this.joinOrFound(answers);
       await replica.changed.waitFor(replica.clock, replica.tuning.joinMs);
     }
   }
 
-  /** Answers who this replica is and what it belongs to; accepts a first configuration that names it. */
+  /** Answers with the identity, cluster and status of this replica; accepts a first configuration that contains it. */
   async answer(request: JoinRequest): Promise<JoinResponse> {
     const { replica } = this;
-    const accepted = request.first !== undefined && (await this.accept(request.first));
+    const accepted = request.first !== undefined && (await this.acceptConfiguration(request.first));
     const configuration =
       replica.configuration ??
       (replica.clusterId === '' ? undefined : configurationOf(replica.clusterId, [], []));
     return create(JoinResponseSchema, { replica: replica.self, configuration, accepted, ...this.report() });
   }
 
-  /** Asks the replica at an address who it is. Undefined without an answer. */
-  async ask(address: string, first?: Configuration): Promise<JoinResponse | undefined> {
+  /** Queries identity and status of the replica at an address; undefined without an answer. */
+  async identify(address: string, first?: Configuration): Promise<JoinResponse | undefined> {
     const { replica } = this;
     const request = create(JoinRequestSchema, { replica: replica.self, first });
     const answer = await this.peers.call(address, (client, signal) => client.join(request, { signal }));
     return answer.unwrapOr(undefined);
   }
 
-  private askAll(): Promise<(JoinResponse | undefined)[]> {
-    const others = this.initial.filter(({ name }) => name !== this.replica.name);
-    return Promise.all(others.map(({ address }) => this.ask(address)));
+  private identifyAll(): Promise<(JoinResponse | undefined)[]> {
+    const others = this.initialReplicas.filter(({ name }) => name !== this.replica.name);
+    return Promise.all(others.map(({ address }) => this.identify(address)));
   }
 
-  private async consider(answers: readonly (JoinResponse | undefined)[]): Promise<void> {
+  private async joinOrFound(answers: readonly (JoinResponse | undefined)[]): Promise<void> {
     const known = answers.find((answer) => answer?.configuration !== undefined)?.configuration;
     if (known !== undefined) {
-      await this.accept(known);
+      await this.acceptConfiguration(known);
       return;
     }
-    const found = answers.filter((answer) => answer?.state !== WITHOUT_DISK);
-    const others = found.map((answer) => answer?.replica).filter((other) => other !== undefined);
+    const withDisk = answers.filter((answer) => answer?.state !== WITHOUT_DISK);
+    const others = withDisk.map((answer) => answer?.replica).filter((other) => other !== undefined);
     const members = [this.replica.self, ...others];
-    const able = this.initial.filter(({ name }) => !namesWithoutDisk(answers).includes(name));
-    const isComplete = sortedNames(members) === sortedNames(able);
-    const lowest = able.map(({ name }) => name).sort()[0];
-    if (isComplete && lowest === this.replica.name) await this.found(members);
+    const expected = this.initialReplicas.filter(({ name }) => !namesWithoutDisk(answers).includes(name));
+    const isComplete = sortedNames(members) === sortedNames(expected);
+    const lowest = expected.map(({ name }) => name).sort()[0];
+    if (isComplete && lowest === this.replica.name) await this.foundCluster(members);
   }
 
   /**
-   * Belongs to the cluster of a configuration in which this very replica votes. The name alone is not enough:
-   * an empty disk under an old name would take over the vote of the one that was lost.
+   * Joins the cluster of a configuration in which this replica id is a voter. The name alone is not enough: a replica with an
+   * empty disk would take over the vote of the lost one of the same name.
    */
-  private async accept(configuration: Configuration): Promise<boolean> {
+  private async acceptConfiguration(configuration: Configuration): Promise<boolean> {
     const { replica } = this;
     return replica.exclusive(async () => {
       if (replica.clusterId !== '') return replica.clusterId === configuration.clusterId;
@@ -106,19 +106,19 @@
   }
 
   /**
-   * Writes the first entry, synced here before anybody hears of it: a founder that crashes finds it again and
-   * goes on with the same cluster.
+   * Founds a cluster. The first entry is synced before other replicas receive the configuration, so that a founder that
+   * crashes continues with the same cluster.
    */
-  private async found(members: readonly Voter[]): Promise<void> {
+  private async foundCluster(members: readonly Voter[]): Promise<void> {
     const { replica } = this;
     const configuration = configurationOf(newId('cluster'), members, []);
-    const isFounded = await replica.exclusive(() => this.writeFirst(configuration));
+    const isFounded = await replica.exclusive(() => this.writeFirstEntry(configuration));
     if (!isFounded) return;
     replica.log.event(coordinationEvents.founded, { cluster: configuration.clusterId });
-    await Promise.all(replica.others.map(({ address }) => this.ask(address, configuration)));
+    await Promise.all(replica.others.map(({ address }) => this.identify(address, configuration)));
   }
 
-  private async writeFirst(configuration: Configuration): Promise<boolean> {
+  private async writeFirstEntry(configuration: Configuration): Promise<boolean> {
     const { replica } = this;
     if (replica.clusterId !== '' || replica.entries.last.index > 0n) return false;
     const entry = create(EntrySchema, {
@@ -129,7 +129,7 @@
     });
     const written = await replica.appendEntries([entry]);
     if (written.isErr() || (await replica.syncEntries(1n)).isErr()) return false;
-    const saved = await replica.save({ clusterId: configuration.clusterId, term: FOUNDING_TERM });
+    const saved = await replica.saveState({ clusterId: configuration.clusterId, term: FOUNDING_TERM });
     return saved.isOk();
   }
 }
--- a/packages/coordination/src/agreement/leadership.ts
+++ b/packages/coordination/src/agreement/leadership.ts
@@ -1,4 +1,4 @@
-/** One leader's term: taking commands, committing, keeping contact with a quorum. */
+/** One term of a leader: appending and committing commands, and checking contact with a quorum. */
 import { create } from '@bufbuild/protobuf';
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
@@ -15,99 +15,99 @@
 import type { Replica } from './replica.js';
 import { replicate } from './replication.js';
 import { Signal } from './signal.js';
-import { VoterWatch } from './voterWatch.js';
+import { VoterMonitor } from './voterMonitor.js';
 import type { Snapshot } from '../storage/index.js';
 
 const NO_COMMAND = new Uint8Array();
 
-/** What a term's tasks are made with. */
-export interface LeadershipParts {
+/** Dependencies of a leadership. */
+export interface LeadershipContext {
   readonly replica: Replica;
   readonly peers: PeerClient;
   readonly waiters: Waiters;
-  /** The applied state, for replicas that lag too far. */
+  /** Snapshot of the applied state, for replicas that need entries no longer in the log. */
   readonly snapshot: () => Snapshot;
-  /** Called when one voter's higher term ended this one although a quorum had just answered. */
-  readonly unseated: () => void;
-  /** Starts a task of its own; an error of it stops the replica. */
-  readonly start: (task: Promise<void>) => void;
+  /** Called when a higher term of one voter deposed this leader although a quorum had just answered it. */
+  readonly onDeposed: () => void;
+  /** Runs a background task; an error in it stops the replica. */
+  readonly startTask: (task: Promise<void>) => void;
 }
 
-/** A term in which this replica leads. */
+/** The term of this replica as leader. */
 export class Leadership {
-  /** Fires when there is something to send. */
+  /** Fires when there may be something to send, and on each answer. */
   readonly work = new Signal();
   readonly progress = new Map<string, Progress>();
   private pending: Proposal[] = [];
   private pendingBytes = 0;
-  private readonly arrived = new Signal();
-  private readonly voterWatch = new VoterWatch(this);
-  private readonly begunAt: number;
-  /** When a message was last wanted that confirms the lead, by the clock. */
-  private confirmAskedAt = -Infinity;
-  /** Index of the term's first entry; 0 until it is written. */
-  private firstIndex = 0n;
+  private readonly proposalArrived = new Signal();
+  private readonly voterMonitor = new VoterMonitor(this);
+  private readonly startedAt: number;
+  /** Monotonic time of the last `readIndex` request that needs a round of heartbeats. */
+  private lastReadRequestAt = -Infinity;
+  /** Index of this term's first entry; 0 until it is appended. */
+  private termStartIndex = 0n;
 
   constructor(
-    readonly parts: LeadershipParts,
+    readonly context: LeadershipContext,
     readonly term: bigint,
   ) {
-    this.begunAt = parts.replica.clock.monotonic();
+    this.startedAt = context.replica.clock.monotonic();
   }
 
   /** Whether this replica still leads in this term. */
   get isActive(): boolean {
-    const { replica } = this.parts;
+    const { replica } = this.context;
     return replica.role === 'leader' && replica.term === this.term && !replica.stopped;
   }
 
-  /** Whether an entry of this term is committed: only then is the commit index known to be current. */
-  get isEstablished(): boolean {
-    return this.hasBegun(this.parts.replica.commitIndex);
+  /** Whether an entry of this term is committed; only then is the commit index known to be current. */
+  get hasCommittedInTerm(): boolean {
+    return this.coversTermStart(this.context.replica.commitIndex);
   }
 
-  /** Whether the entries up to `index` include the first one of this term, and so all that earlier terms committed. */
-  hasBegun(index: bigint): boolean {
-    return this.firstIndex > 0n && index >= this.firstIndex;
+  /** Whether `index` covers this term's first entry, and with it all entries that earlier terms committed. */
+  coversTermStart(index: bigint): boolean {
+    return this.termStartIndex > 0n && index >= this.termStartIndex;
   }
 
-  /** Leads until the replica is no longer leader of this term. */
+  /** Runs until this replica is no longer the leader of this term. */
   async run(): Promise<void> {
-    const { replica } = this.parts;
-    const begun = await this.append([{ kind: EntryKind.NOOP }]);
-    if (begun.isErr()) return;
-    this.firstIndex = begun.value;
+    const { replica } = this.context;
+    const appended = await this.append([{ kind: EntryKind.NOOP }]);
+    if (appended.isErr()) return;
+    this.termStartIndex = appended.value;
     replica.log.event(coordinationEvents.leading, { term: this.term.toString() });
-    await Promise.all([this.takeCommands(), this.keepQuorum(), this.keepMembers()]);
+    await Promise.all([this.appendProposals(), this.checkQuorum(), this.replicateToMembers()]);
     for (const proposal of this.pending.splice(0)) proposal.settle(notWritten('no longer the leader'));
   }
 
-  /** Queues a command; the outcome comes when it is applied here. */
+  /** Queues a command; it settles when the command is applied on this replica. */
   propose(proposal: Proposal): void {
     if (!this.isActive || this.isFull()) {
-      proposal.settle(this.isActive ? tooMany() : notWritten('no longer the leader'));
+      proposal.settle(this.isActive ? overloaded() : notWritten('no longer the leader'));
       return;
     }
     this.pending.push(proposal);
     this.pendingBytes += proposal.command.length;
-    this.arrived.notify();
+    this.proposalArrived.notify();
   }
 
-  /** Whether more waits for a quorum than may: what a proposer sends again and again would keep it from ever catching up. */
+  /** Whether too many commands are uncommitted. Without a limit, retried commands could keep the quorum from ever catching up. */
   private isFull(): boolean {
-    const { tuning, entries, commitIndex } = this.parts.replica;
+    const { tuning, entries, commitIndex } = this.context.replica;
     if (this.pending.length >= tuning.maxPending) return true;
     return this.pendingBytes + entries.bytesAfter(commitIndex) >= tuning.maxUncommittedBytes;
   }
 
-  /** Puts a configuration into the log; in force here as soon as it is written. */
+  /** Appends a configuration to the log; it takes effect as soon as it is appended. */
   async changeConfiguration(configuration: Configuration): Promise<Result<bigint, Fault>> {
     return this.append([{ kind: EntryKind.CONFIGURATION, configuration }]);
   }
 
   /** Whether a quorum answered messages sent within the last `windowMs` milliseconds. */
   hasQuorum(windowMs: number): boolean {
-    const { replica } = this.parts;
+    const { replica } = this.context;
     const { configuration } = replica;
     return (
       configuration !== undefined && isQuorum(configuration, (voter) => this.isReachable(voter, windowMs))
@@ -115,134 +115,134 @@
   }
 
   /**
-   * Confirms that this replica still led after the call. @returns the index of the last entry that was committed at the call;
-   * undefined when the term ended, or no quorum answered in time.
+   * Read index: confirms by a round of heartbeats that this replica is still the leader. @returns the commit index at the
+   * time of the request; undefined when the term ended or no quorum answered in time.
    */
-  async confirm(timeoutMs: number): Promise<bigint | undefined> {
-    const { clock, tuning } = this.parts.replica;
-    const begunAt = clock.monotonic();
-    const endsAt = begunAt + timeoutMs;
-    while (this.isActive && !this.isEstablished && clock.monotonic() < endsAt) {
-      await this.parts.replica.changed.waitFor(clock, tuning.heartbeatMs);
+  async readIndex(timeoutMs: number): Promise<bigint | undefined> {
+    const { clock, tuning } = this.context.replica;
+    const startedAt = clock.monotonic();
+    const deadline = startedAt + timeoutMs;
+    while (this.isActive && !this.hasCommittedInTerm && clock.monotonic() < deadline) {
+      await this.context.replica.changed.waitFor(clock, tuning.heartbeatMs);
     }
-    const askedAt = clock.monotonic();
-    const index = this.parts.replica.commitIndex;
-    this.confirmAskedAt = askedAt;
+    const requestedAt = clock.monotonic();
+    const index = this.context.replica.commitIndex;
+    this.lastReadRequestAt = requestedAt;
     this.work.notify();
-    while (this.isActive && this.isEstablished && clock.monotonic() < endsAt) {
-      if (this.hasAnswersSince(askedAt)) return index;
+    while (this.isActive && this.hasCommittedInTerm && clock.monotonic() < deadline) {
+      if (this.hasQuorumSince(requestedAt)) return index;
       await this.work.waitFor(clock, tuning.heartbeatMs);
     }
     return undefined;
   }
 
-  /** Whether a message is wanted that is newer than one sent at `sentAt`. */
-  wantsMessage(sentAt: number): boolean {
-    return sentAt < this.confirmAskedAt;
+  /** Whether a pending `readIndex` needs a message newer than one sent at `sentAt`. */
+  isConfirmationDue(sentAt: number): boolean {
+    return sentAt < this.lastReadRequestAt;
   }
 
-  /** Whether a quorum answered messages that were sent after `askedAt`. */
-  private hasAnswersSince(askedAt: number): boolean {
-    const { configuration, id } = this.parts.replica;
-    const isAnswered = ({ replicaId }: Voter): boolean =>
-      replicaId === id || (this.progress.get(replicaId)?.answeredAt ?? -Infinity) >= askedAt;
-    return configuration !== undefined && isQuorum(configuration, isAnswered);
+  /** Whether a quorum answered messages sent at `since` or later. */
+  private hasQuorumSince(since: number): boolean {
+    const { configuration, id } = this.context.replica;
+    const hasAnswered = ({ replicaId }: Voter): boolean =>
+      replicaId === id || (this.progress.get(replicaId)?.lastAnsweredSentAt ?? -Infinity) >= since;
+    return configuration !== undefined && isQuorum(configuration, hasAnswered);
   }
 
   /** Whether a replica answered a message sent within the last `windowMs` milliseconds. */
   isReachable(voter: Pick<Voter, 'replicaId'>, windowMs: number): boolean {
-    const { replica } = this.parts;
+    const { replica } = this.context;
     if (voter.replicaId === replica.id) return true;
-    const answeredAt = this.progress.get(voter.replicaId)?.answeredAt ?? -Infinity;
+    const answeredAt = this.progress.get(voter.replicaId)?.lastAnsweredSentAt ?? -Infinity;
     return replica.clock.monotonic() - answeredAt < windowMs;
   }
 
-  /** Whether a replica has given no answer for so long that it counts as lost. */
+  /** Whether a replica has not answered for so long that it counts as lost. */
   isSilent(replicaId: string): boolean {
-    const { replica } = this.parts;
-    const heardAt = this.progress.get(replicaId)?.heardAt;
+    const { replica } = this.context;
+    const heardAt = this.progress.get(replicaId)?.lastContactAt;
     if (heardAt === undefined) return false;
     return replica.clock.monotonic() - heardAt >= replica.tuning.silentMs;
   }
 
-  /** Commits what a quorum has synced. */
-  advance(): void {
-    const { replica } = this.parts;
+  /** Advances the commit index to the highest entry that a quorum has synced. */
+  advanceCommitIndex(): void {
+    const { replica } = this.context;
     const { configuration } = replica;
     if (!this.isActive || configuration === undefined) return;
-    const synced = configuration.voters.map((voter) => this.syncedAt(voter)).sort(descending);
-    const index = synced[quorumOf(configuration.voters.length) - 1] ?? 0n;
+    const syncedIndexes = configuration.voters.map((voter) => this.syncedIndexOf(voter)).sort(descending);
+    const index = syncedIndexes[quorumOf(configuration.voters.length) - 1] ?? 0n;
     /*
-     * An entry of an earlier term can be on a quorum and still be replaced: a candidate that never had it may
-     * win with a newer entry. It is safe only once an entry of the own term lies above it.
+     * An entry of an earlier term can be on a quorum and still be overwritten: a candidate without it may win with an entry
+     * of a later term. It is committed only through a later entry of the current term (Raft, section 5.4.2).
      */
     if (index <= replica.commitIndex || replica.entries.termAt(index) !== this.term) return;
     replica.commitTo(index);
     this.work.notify();
-    this.leaveIfRemoved(configuration);
+    this.stepDownIfRemoved(configuration);
   }
 
-  /** A replica that answered with a higher term ends this one. */
+  /** Steps down because a replica answered with a higher term. */
   async observeTerm(term: bigint): Promise<void> {
-    const { replica, unseated } = this.parts;
-    const wasBacked = await replica.exclusive(async () => {
+    const { replica, onDeposed } = this.context;
+    const wasDeposed = await replica.exclusive(async () => {
       if (term <= replica.term) return false;
-      const hadQuorum = this.isEstablished && this.hasQuorum(replica.tuning.electionMinMs);
-      const isLeading = this.isActive;
-      const moved = await replica.observeTerm(term);
-      return isLeading && hadQuorum && moved.isOk();
+      const hadQuorum = this.hasCommittedInTerm && this.hasQuorum(replica.tuning.electionMinMs);
+      const wasActive = this.isActive;
+      const observed = await replica.observeTerm(term);
+      return wasActive && hadQuorum && observed.isOk();
     });
-    if (wasBacked) unseated();
+    if (wasDeposed) onDeposed();
   }
 
-  private syncedAt(voter: Voter): bigint {
-    const { replica } = this.parts;
+  private syncedIndexOf(voter: Voter): bigint {
+    const { replica } = this.context;
     if (voter.replicaId === replica.id) return replica.syncedIndex;
     return this.progress.get(voter.replicaId)?.match ?? 0n;
   }
 
-  private leaveIfRemoved(configuration: Configuration): void {
-    const { replica } = this.parts;
+  private stepDownIfRemoved(configuration: Configuration): void {
+    const { replica } = this.context;
     const isCommitted = replica.entries.configuration().index <= replica.commitIndex;
     const isMember = configuration.voters.some((voter) => voter.replicaId === replica.id);
     if (isCommitted && !isMember) replica.becomeFollower('no longer a voter');
   }
 
-  /** Writes commands as they come: all at hand in one write, the sync running beside the messages. */
-  private async takeCommands(): Promise<void> {
-    const { clock, tuning } = this.parts.replica;
+  /** Appends queued commands: all that are queued in one write, with the sync in parallel to replication. */
+  private async appendProposals(): Promise<void> {
+    const { clock, tuning } = this.context.replica;
     while (this.isActive) {
       if (this.pending.length === 0) {
-        await this.arrived.waitFor(clock, tuning.heartbeatMs);
+        await this.proposalArrived.waitFor(clock, tuning.heartbeatMs);
         continue;
       }
       const batch = this.pending.splice(0, tuning.groupCommit ? tuning.maxBatchEntries : 1);
       for (const { command } of batch) this.pendingBytes -= command.length;
-      await this.write(batch);
+      await this.appendBatch(batch);
     }
   }
 
-  private async write(batch: readonly Proposal[]): Promise<void> {
-    const { waiters } = this.parts;
+  private async appendBatch(batch: readonly Proposal[]): Promise<void> {
+    const { waiters } = this.context;
     const entries = batch.map(({ command }) => ({ kind: EntryKind.COMMAND, command }));
-    const last = await this.append(entries, (index, position) => {
+    const appended = await this.append(entries, (index, position) => {
       const proposal = batch[position];
       if (proposal !== undefined) waiters.add(index, this.term, proposal.settle);
     });
-    if (last.isOk()) return;
-    const outcome: Outcome = err({ ...last.error, ran: 'not-run' });
+    if (appended.isOk()) return;
+    const outcome: Outcome = err({ ...appended.error, ran: 'not-run' });
     for (const proposal of batch) proposal.settle(outcome);
   }
 
   /**
-   * Writes entries at the end of the log and starts their sync. Nothing has left the process when the write
-   * fails, so that the commands surely did not run.
+   * Appends entries to the log and starts their sync. A failed write means that no entry was sent to any replica, so the
+   * commands have certainly not run.
    */
   private async append(
     drafts: readonly Partial<Pick<Entry, 'kind' | 'command' | 'configuration'>>[],
-    placed: (index: bigint, position: number) => void = () => undefined,
+    onAppended: (index: bigint, position: number) => void = () => undefined,
   ): Promise<Result<bigint, Fault>> {
-    const { replica } = this.parts;
+    const { replica } = this.context;
     const written = await replica.exclusive(async (): Promise<Result<bigint, Fault>> => {
       if (!this.isActive) return err(notLeader());
       const first = replica.entries.last.index + 1n;
@@ -256,72 +256,72 @@
       );
       const result = await replica.appendEntries(entries);
       if (result.isErr()) return err(result.error);
-      for (const [position, entry] of entries.entries()) placed(entry.index, position);
+      for (const [position, entry] of entries.entries()) onAppended(entry.index, position);
       return ok(replica.entries.last.index);
     });
     if (written.isErr()) return written;
     this.work.notify();
     const synced = this.sync(written.value);
-    this.parts.start(synced);
+    this.context.startTask(synced);
     if (!replica.tuning.groupCommit) await synced;
     return written;
   }
 
   private async sync(index: bigint): Promise<void> {
-    const synced = await this.parts.replica.syncEntries(index);
-    if (synced.isOk()) this.advance();
+    const synced = await this.context.replica.syncEntries(index);
+    if (synced.isOk()) this.advanceCommitIndex();
   }
 
   /**
-   * Steps down without answers of a quorum. A leader that is cut off would otherwise go on for ever: it learns
-   * of no newer term, keeps accepting commands that can't be committed, and vouches for old state.
+   * Steps down when no quorum has answered within the window. An isolated leader would otherwise never learn of a newer term;
+   * it would keep accepting commands that can't be committed, and vouch for outdated state.
    */
-  private async keepQuorum(): Promise<void> {
-    const { replica } = this.parts;
+  private async checkQuorum(): Promise<void> {
+    const { replica } = this.context;
     const { clock } = replica;
     const { quorumWindowMs, heartbeatMs } = replica.tuning;
-    // Answers that came during a stall are read only after it, so its length is added to the window.
-    let lateMs = 0;
+    // Answers that arrive while this process is stalled are read only afterwards, so the stall extends the window.
+    let stallMs = 0;
     while (this.isActive) {
-      const age = clock.monotonic() - this.begunAt;
-      if (age > quorumWindowMs && !this.hasQuorum(quorumWindowMs + lateMs)) {
+      const age = clock.monotonic() - this.startedAt;
+      if (age > quorumWindowMs && !this.hasQuorum(quorumWindowMs + stallMs)) {
         replica.becomeFollower('no answers of a quorum');
         return;
       }
-      this.voterWatch.look();
-      const lookedAt = clock.monotonic();
+      this.voterMonitor.check();
+      const checkedAt = clock.monotonic();
       await replica.changed.waitFor(clock, heartbeatMs);
-      const passedMs = clock.monotonic() - lookedAt;
-      lateMs = Math.min(quorumWindowMs, Math.max(passedMs - heartbeatMs, lateMs - passedMs, 0));
+      const elapsedMs = clock.monotonic() - checkedAt;
+      stallMs = Math.min(quorumWindowMs, Math.max(elapsedMs - heartbeatMs, stallMs - elapsedMs, 0));
     }
   }
 
-  /** Runs one task for each other member, as the configuration has them. */
-  private async keepMembers(): Promise<void> {
-    const { replica } = this.parts;
+  /** Runs one replication task for each other member of the configuration. */
+  private async replicateToMembers(): Promise<void> {
+    const { replica } = this.context;
     while (this.isActive) {
       const members = replica.others;
       const ids = new Set(members.map(({ replicaId }) => replicaId));
-      for (const member of members) this.admit(member);
-      for (const [id, progress] of this.progress) if (!ids.has(id)) this.dismiss(id, progress);
+      for (const member of members) this.startReplication(member);
+      for (const [id, progress] of this.progress) if (!ids.has(id)) this.stopReplication(id, progress);
       await replica.changed.wait();
     }
-    for (const [id, progress] of this.progress) this.dismiss(id, progress);
+    for (const [id, progress] of this.progress) this.stopReplication(id, progress);
   }
 
-  private admit(member: Voter): void {
-    const known = this.progress.get(member.replicaId);
-    if (known !== undefined) {
-      known.voter = member;
+  private startReplication(member: Voter): void {
+    const existing = this.progress.get(member.replicaId);
+    if (existing !== undefined) {
+      existing.voter = member;
       return;
     }
-    const { replica } = this.parts;
+    const { replica } = this.context;
     const progress = new Progress(member, replica.entries.last.index, replica.clock.monotonic());
     this.progress.set(member.replicaId, progress);
-    this.parts.start(replicate(this, progress));
+    this.context.startTask(replicate(this, progress));
   }
 
-  private dismiss(id: string, progress: Progress): void {
+  private stopReplication(id: string, progress: Progress): void {
     progress.isMember = false;
     this.progress.delete(id);
     this.work.notify();
@@ -330,6 +330,6 @@
 
 const notLeader = (): Fault => fault('not-leader', 'no longer the leader', { ran: 'not-run' });
 
-const tooMany = (): Outcome => err(fault('overloaded', 'too many commands wait'));
+const overloaded = (): Outcome => err(fault('overloaded', 'too many commands wait for a quorum'));
 
 const descending = (a: bigint, b: bigint): number => (a < b ? 1 : a > b ? -1 : 0);
--- a/packages/coordination/src/agreement/nextStep.spec.ts
+++ b/packages/coordination/src/agreement/nextStep.spec.ts
@@ -99,7 +99,7 @@
     const wanted = [...new Map(membersOf(this.current).map((one) => [one.name, one])).values()];
     return nextStep({
       current: this.current,
-      wanted,
+      desired: wanted,
       self: this.leader.replicaId,
       found: this.found,
       isCaughtUp: (id) => this.caughtUp.has(id),
--- a/packages/coordination/src/agreement/options.ts
+++ b/packages/coordination/src/agreement/options.ts
@@ -11,78 +11,90 @@
   readonly address: string;
 }
 
-const milliseconds = (initial: number) => z.number().positive().default(initial);
-const count = (initial: number) => z.number().int().positive().default(initial);
+const milliseconds = (defaultMs: number) => z.number().positive().default(defaultMs);
+const count = (defaultCount: number) => z.number().int().positive().default(defaultCount);
 
-/** Times and sizes, with defaults for replicas some milliseconds apart. */
+/** Timeouts and limits, with defaults for network latencies of a few milliseconds. */
 export const tuning = z.object({
-  heartbeatMs: milliseconds(100).describe('a leader is heard from this often'),
-  commitNoticeMs: milliseconds(5).describe('a commit is told after so long when no entry carries it before'),
-  electionMinMs: milliseconds(500).describe('shortest silence before an election'),
-  electionMaxMs: milliseconds(1_000).describe('longest silence before an election after one that was lost'),
-  firstElectionMs: milliseconds(100).describe('wait of the first voter for a leader after a start'),
-  electionStepMs: milliseconds(250).describe('each further voter waits so much longer'),
-  electionSpreadMs: milliseconds(50).describe('random part of the wait'),
-  rpcTimeoutMs: milliseconds(500).describe('a call without an answer for so long loses its connection'),
-  slowRpcTimeoutMs: milliseconds(1_500).describe('the same where answers have taken long before'),
-  quorumWindowMs: milliseconds(1_500).describe('a leader without answers of a quorum for so long steps down'),
-  vouchWindowMs: milliseconds(1_200).describe('a replica without contact for so long vouches no longer'),
+  heartbeatMs: milliseconds(100).describe('interval between heartbeats of a leader'),
+  commitNoticeMs: milliseconds(5).describe('delay before a new commit index is sent without entries'),
+  electionMinMs: milliseconds(500).describe('shortest time without a leader before an election'),
+  electionMaxMs: milliseconds(1_000).describe(
+    'longest time without a leader before an election that follows a lost one',
+  ),
+  firstElectionMs: milliseconds(100).describe('election timeout of the first voter after a start'),
+  electionStepMs: milliseconds(250).describe('additional election timeout of each further voter'),
+  electionSpreadMs: milliseconds(50).describe('random part of the election timeout'),
+  rpcTimeoutMs: milliseconds(500).describe('shortest timeout of a call; its connection is dropped then'),
+  slowRpcTimeoutMs: milliseconds(1_500).describe(
+    'longest timeout of a call to a replica with slow responses',
+  ),
+  quorumWindowMs: milliseconds(1_500).describe(
+    'time without answers from a quorum after which a leader steps down',
+  ),
+  vouchWindowMs: milliseconds(1_200).describe(
+    'time without contact after which a replica no longer vouches for its state',
+  ),
   silentMs: milliseconds(3_000).describe(
-    'a voter without an answer for so long counts as lost; a process that is killed is back sooner',
+    'time without an answer after which a voter counts as lost; longer than the restart of a killed process',
   ),
   lossesToBear: z
     .number()
     .int()
     .min(0)
     .default(1)
-    .describe('voters that may be lost at once; where no more than twice as many vote, a warning is logged'),
-  storageRestMs: milliseconds(10_000).describe('after a storage error, no candidacy for so long'),
-  reconfigureMs: milliseconds(250).describe('pause between steps of a change of replicas'),
-  changeTimeoutMs: milliseconds(30_000).describe('longest wait of a change of replicas'),
+    .describe(
+      'number of simultaneous losses to tolerate; with no more than twice as many voters, a warning is logged',
+    ),
+  storageRestMs: milliseconds(10_000).describe('time after a storage error without candidacy'),
+  reconfigureMs: milliseconds(250).describe('pause between steps of a membership change'),
+  changeTimeoutMs: milliseconds(30_000).describe('timeout of a membership change'),
   joinMs: milliseconds(200).describe('pause between attempts of an empty replica to join'),
-  maxBatchEntries: count(512).describe('entries in one message or write'),
+  maxBatchEntries: count(512).describe('maximum number of entries in one message or write'),
   maxBatchBytes: count(1_048_576).describe(
-    'bytes in one write, and in all appends to one replica without an answer yet; a longer entry goes alone',
+    'maximum bytes in one write, and in all appends in flight to one replica; a longer entry is sent alone',
   ),
-  maxInFlight: count(8).describe('appends to one replica without an answer yet'),
+  maxInFlight: count(8).describe('maximum number of appends in flight to one replica'),
   leastBytesPerMs: count(500).describe(
-    'an answer is waited for longer by the bytes under way, at this speed',
+    'slowest expected transfer rate, by which timeouts are extended for the bytes in flight',
   ),
-  maxPending: count(10_000).describe('commands waiting at the leader; more are refused'),
+  maxPending: count(10_000).describe('maximum number of commands queued at the leader; more are refused'),
   maxUncommittedBytes: count(4_194_304).describe(
-    'bytes of commands that no quorum has yet, from which on the leader refuses more',
+    'bytes of uncommitted commands from which on the leader refuses more',
+  ),
+  pieceBytes: count(262_144).describe('size of one piece of a snapshot in bytes'),
+  snapshotEntries: count(4_096).describe('number of entries after which a snapshot is taken'),
+  snapshotBytes: count(16_777_216).describe('bytes of commands after which a snapshot is taken'),
+  retainedEntries: count(1_024).describe(
+    'number of entries covered by a snapshot that are retained for lagging replicas',
   ),
-  pieceBytes: count(262_144).describe('bytes of one piece of a snapshot'),
-  snapshotEntries: count(4_096).describe('a snapshot is taken after so many entries'),
-  snapshotBytes: count(16_777_216).describe('a snapshot is taken after so many bytes of commands'),
-  retainedEntries: count(1_024).describe('entries kept behind a snapshot for replicas that lag'),
-  retainedBytes: count(4_194_304).describe('bytes of commands in these entries'),
-  groupCommit: z.boolean().default(true).describe('one sync and message for all commands at hand'),
+  retainedBytes: count(4_194_304).describe('maximum bytes of commands in these entries'),
+  groupCommit: z.boolean().default(true).describe('one sync and one message for all queued commands'),
 });
 
 /** Parsed form of `tuning`. */
 export type Tuning = z.output<typeof tuning>;
 
-/** What a replicated log is opened with. */
+/** Options to open a replicated log. */
 export interface ReplicatedLogOptions extends Partial<Tuning> {
   /** Name of this replica, one of `initialReplicas` or added later. */
   readonly name: string;
-  /** Folder for its state. The folder above must exist. */
+  /** Folder for its state. The parent folder must exist. */
   readonly folder: string;
-  /** Replicas of the first start, this one included; the same list on all of them. */
+  /** Replicas that found the cluster, including this one; must be the same list on all of them. */
   readonly initialReplicas: readonly ReplicaAddress[];
-  /** The transport to host:port. Asked anew for each call. */
+  /** Returns the transport to host:port. Called for each request. */
   readonly connect: (address: string) => Transport;
-  /** Cuts the connection to host:port; the next `connect` gives a new one. */
+  /** Closes the connection to host:port; the next `connect` returns a new one. */
   readonly drop: (address: string) => void;
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics?: Metrics;
   readonly stateMachine: StateMachine;
-  /** File system; the machine's own when absent. */
+  /** File system; that of the operating system when absent. */
   readonly disk?: Disk;
   /**
-   * Called when a task of the replica has met a bug. The replica has stopped for good and its vote is missing: end the process,
+   * Called when a task of the replica threw an unexpected error. The replica has stopped and no longer votes: end the process,
    * or close the log and open it again.
    */
   readonly onFailure?: (error: unknown) => void;
--- a/packages/coordination/src/agreement/peerClient.ts
+++ b/packages/coordination/src/agreement/peerClient.ts
@@ -1,4 +1,4 @@
-/** Calls to other replicas: each has a timeout, and a connection that gives no answer is not used again. */
+/** Calls to other replicas, with timeouts; a connection on which a call times out is not used again. */
 import { Code, ConnectError, createClient } from '@connectrpc/connect';
 import type { Client, Transport } from '@connectrpc/connect';
 import { afterActive, fault } from '@jasmineroute/core';
@@ -8,26 +8,26 @@
 import { coordinationEvents } from '../events.js';
 import { Agreement } from '../gen/agreement/agreement_pb.js';
 import { coordinationMetrics } from '../metrics.js';
-import { AnswerTimes } from './answerTimes.js';
-import type { WaitBounds } from './answerTimes.js';
+import { ResponseTimeouts } from './responseTimeouts.js';
+import type { TimeoutBounds } from './responseTimeouts.js';
 
 /** Client of the service between replicas. */
 export type AgreementClient = Client<typeof Agreement>;
 
-/** What calls are made with. */
-export interface PeerClientParts {
+/** Dependencies of a peer client. */
+export interface PeerClientOptions {
   readonly connect: (address: string) => Transport;
   readonly drop: (address: string) => void;
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
-  readonly waits: WaitBounds;
+  readonly timeoutBounds: TimeoutBounds;
 }
 
-/** HTTP/2's word that a stream was not processed at all (RFC 9113, 8.7), as for those opened after a GOAWAY. */
+/** HTTP/2 error code of a stream that was not processed at all (RFC 9113, 8.7), for example one opened after a GOAWAY. */
 const REFUSED_STREAM = 'NGHTTP2_REFUSED_STREAM';
 
-/** The connection or the stream was refused, so the call was never processed. */
+/** Whether the connection or the stream was refused, so that the call was never processed. */
 function isUnsent(error: ConnectError): boolean {
   const code = (error.cause as NodeJS.ErrnoException | undefined)?.code;
   return code === 'ECONNREFUSED' || error.rawMessage.includes(REFUSED_STREAM);
@@ -36,68 +36,70 @@
 /** Options of one call. */
 export interface CallOptions {
   /**
-   * Longest time for the call, milliseconds, where the other side may have reason to wait: a timeout says nothing of the
-   * connection then. Absent: as long as answers of that replica take.
+   * Timeout of a call that may legitimately take long, milliseconds; expiry does not mean that the connection is dead. By
+   * default the timeout follows the response times of the replica.
    */
   readonly timeoutMs?: number;
-  /** So many times as long, where the answer waits for a disk. */
-  readonly waits?: number;
-  /** And so much longer, milliseconds, where many bytes have to arrive first. */
-  readonly moreMs?: number;
+  /** Factor on the default timeout, for calls that wait for a disk. */
+  readonly timeoutFactor?: number;
+  /** Extension of the default timeout, milliseconds, for calls that send many bytes. */
+  readonly extraMs?: number;
 }
 
-/** Calls by address. */
+/** Calls other replicas by address. */
 export class PeerClient {
   private readonly clients = new WeakMap<Transport, AgreementClient>();
-  private readonly answerTimes: AnswerTimes;
+  private readonly responseTimeouts: ResponseTimeouts;
 
-  constructor(private readonly parts: PeerClientParts) {
-    this.answerTimes = new AnswerTimes(parts.waits);
+  constructor(private readonly options: PeerClientOptions) {
+    this.responseTimeouts = new ResponseTimeouts(options.timeoutBounds);
   }
 
   /**
-   * Makes one call. Errors: `target-unreachable` when it was surely not sent, `target-lost` otherwise.
-   * Something between two replicas can lose track of a connection; nothing closes it then, and calls on it
-   * only time out, while a new connection works. So the first timeout drops it.
+   * Makes one call. Errors: `target-unreachable` when the call was certainly not processed, `target-lost` otherwise.
+   * A device between two replicas, such as a firewall, can lose the state of a connection without closing it: calls on it only
+   * time out, while a new connection works. So the first timeout drops the connection.
    */
   async call<T>(
     address: string,
     action: (client: AgreementClient, signal: AbortSignal) => Promise<T>,
-    { timeoutMs, waits = 1, moreMs = 0 }: CallOptions = {},
+    { timeoutMs, timeoutFactor = 1, extraMs = 0 }: CallOptions = {},
   ): Promise<Result<T, Fault>> {
-    const { clock } = this.parts;
+    const { clock } = this.options;
     const connected = this.transportTo(address);
     if (connected.isErr()) return err(connected.error);
     const transport = connected.value;
     const controller = new AbortController();
-    const boundMs = timeoutMs ?? this.answerTimes.waitMs(address) * waits + moreMs;
+    const callTimeoutMs = timeoutMs ?? this.responseTimeouts.waitMs(address) * timeoutFactor + extraMs;
     const abort = (): void => {
       controller.abort();
     };
-    // What is said of the connection must not depend on how long this process stood still; a caller's deadline does.
-    const cancel = timeoutMs === undefined ? afterActive(clock, boundMs, abort) : clock.after(boundMs, abort);
-    const isTimed = timeoutMs === undefined && waits === 1;
-    const begunAt = clock.monotonic();
+    // A timeout that drops the connection must not include stalls of this process; a caller's deadline does.
+    const cancel =
+      timeoutMs === undefined ? afterActive(clock, callTimeoutMs, abort) : clock.after(callTimeoutMs, abort);
+    const isMeasured = timeoutMs === undefined && timeoutFactor === 1;
+    const startedAt = clock.monotonic();
     try {
       const answer = await action(this.client(transport), controller.signal);
-      if (isTimed) this.answerTimes.answered(address, clock.monotonic() - begunAt);
+      if (isMeasured) this.responseTimeouts.recordResponse(address, clock.monotonic() - startedAt);
       return ok(answer);
     } catch (error) {
-      const isSilent = controller.signal.aborted && timeoutMs === undefined;
-      // Another call may have replaced the connection already: the new one has done nothing wrong.
-      if (isSilent && this.parts.connect(address) === transport) this.dropSilent(address, boundMs);
+      const isTimedOut = controller.signal.aborted && timeoutMs === undefined;
+      // Another call may have replaced the connection already; the new one must not be dropped.
+      if (isTimedOut && this.options.connect(address) === transport)
+        this.dropConnection(address, callTimeoutMs);
       return err(callFault(address, error));
     } finally {
       cancel();
     }
   }
 
-  /** An address can come from another process, and be none. */
+  /** The address may come from another process and be invalid. */
   private transportTo(address: string): Result<Transport, Fault> {
     try {
-      return ok(this.parts.connect(address));
+      return ok(this.options.connect(address));
     } catch (cause) {
-      return err(fault('target-unreachable', `"${address}" is no address that can be called`, { cause }));
+      return err(fault('target-unreachable', `"${address}" is not a valid address`, { cause }));
     }
   }
 
@@ -109,11 +111,11 @@
     return client;
   }
 
-  private dropSilent(address: string, timeoutMs: number): void {
-    this.parts.log.event(coordinationEvents.connectionDropped, { address, timeoutMs });
-    this.parts.metrics.count(coordinationMetrics.dropped);
-    this.answerTimes.unanswered(address);
-    this.parts.drop(address);
+  private dropConnection(address: string, timeoutMs: number): void {
+    this.options.log.event(coordinationEvents.connectionDropped, { address, timeoutMs });
+    this.options.metrics.count(coordinationMetrics.dropped);
+    this.responseTimeouts.recordTimeout(address);
+    this.options.drop(address);
   }
 }
 
@@ -121,5 +123,5 @@
   const connectError = ConnectError.from(error);
   if (isUnsent(connectError)) return fault('target-unreachable', `${address} refused the connection`);
   const reason = Code[connectError.code];
-  return fault('target-lost', `${address}: ${reason}`, { cause: error });
+  return fault('target-lost', `call to ${address} failed: ${reason}`, { cause: error });
 }
--- a/packages/coordination/src/agreement/endorsement.spec.ts
+++ b/packages/coordination/src/agreement/preVoteEndorsement.spec.ts
@@ -1,7 +1,7 @@
 import { ManualClock } from '@jasmineroute/core';
 import { beforeEach, describe, expect, it } from 'vitest';
-import { Endorsement } from './endorsement.js';
-import type { Candidate } from './endorsement.js';
+import { PreVoteEndorsement } from './preVoteEndorsement.js';
+import type { Candidate } from './preVoteEndorsement.js';
 
 const LENGTH_MS = 500;
 
@@ -14,43 +14,43 @@
 const first = candidate('first', 0);
 const second = candidate('second', 1);
 
-describe('an endorsement', () => {
+describe('a pre-vote endorsement', () => {
   let clock: ManualClock;
-  let endorsement: Endorsement;
+  let endorsement: PreVoteEndorsement;
 
   beforeEach(() => {
     clock = new ManualClock();
-    endorsement = new Endorsement(clock, LENGTH_MS);
+    endorsement = new PreVoteEndorsement(clock, LENGTH_MS);
   });
 
-  // Guards against votes that are split, as a voter encourages each candidate that asks.
-  it('is kept from a candidate that comes behind', () => {
+  // Guards against split votes, which occur when a voter gives its pre-vote to every candidate.
+  it('is kept from a less preferred candidate', () => {
     expect(endorsement.support(first)).toBe(true);
     expect(endorsement.support(second)).toBe(false);
     expect(endorsement.wasOf('first')).toBe(true);
   });
 
-  it('goes over to a candidate that comes before', () => {
+  it('goes over to a more preferred candidate', () => {
     endorsement.support(second);
     expect(endorsement.support(first)).toBe(true);
     expect(endorsement.wasOf('first')).toBe(true);
   });
 
-  // Guards against a replica without the newest entries, which nobody may elect, that holds up those that have them.
+  // Guards against a replica without the latest entries, which cannot be elected, that blocks candidates that have them.
   it('goes over to a candidate with more in its log', () => {
     endorsement.support(first);
     expect(endorsement.support(candidate('second', 1, 6n))).toBe(true);
     expect(endorsement.support(first)).toBe(false);
   });
 
-  it('ends by itself', async () => {
+  it('expires', async () => {
     endorsement.support(first);
     await clock.advance(LENGTH_MS);
     expect(endorsement.support(second)).toBe(true);
   });
 
-  // Guards against a candidate that hears no answers, asks for ever and keeps all others from being elected.
-  it('is not renewed at once by a candidate that asks again and again', async () => {
+  // Guards against a candidate that receives no answers, keeps requesting pre-votes and blocks all others.
+  it('is not renewed immediately for a candidate that keeps requesting it', async () => {
     for (let ms = 0; ms < LENGTH_MS; ms += LENGTH_MS / 10) {
       expect(endorsement.support(first)).toBe(true);
       expect(endorsement.support(second)).toBe(false);
@@ -60,8 +60,8 @@
     expect(endorsement.support(second)).toBe(true);
   });
 
-  // Guards against a candidate that comes before all others, hears no answers and takes over from each that could be elected.
-  it('is not renewed at once by taking over from another candidate', async () => {
+  // Guards against the most preferred candidate receiving no answers, but displacing every candidate that could be elected.
+  it('is not renewed immediately by taking it from another candidate', async () => {
     expect(endorsement.support(first)).toBe(true);
     await clock.advance(LENGTH_MS);
     expect(endorsement.support(second)).toBe(true);
--- a/packages/coordination/src/agreement/progress.ts
+++ b/packages/coordination/src/agreement/progress.ts
@@ -1,39 +1,40 @@
-/** What a leader knows of one other replica. */
+/** State that a leader keeps about the replication to one other replica. */
 import type { Voter } from '../gen/agreement/agreement_pb.js';
 
-/** Replication to one replica. */
+/** Progress of the replication to one replica. Times are monotonic. */
 export class Progress {
-  /** Next entry to send. */
+  /** Index of the next entry to send. */
   next: bigint;
-  /** Entries up to here are synced there. */
+  /** Index up to which entries are known to be synced on the replica. */
   match = 0n;
-  /** When this became known. */
+  /** Time at which `match` last advanced. */
   matchedAt = -Infinity;
   /**
-   * Whether its last answer had all that was committed when the message was sent. What has been committed since is on its way:
-   * one that must have that too would never catch up while entries come faster than its answers.
+   * Whether, by its last answer, it had all entries that were committed when the message was sent. Later commits don't count:
+   * otherwise a replica could never catch up while entries are committed faster than its answers arrive.
    */
   isCaughtUp = false;
-  /** Commit index it was last told of. */
-  toldCommit = 0n;
+  /** Commit index in the last message sent to it. */
+  sentCommitIndex = 0n;
+  /** Messages without an answer yet. */
   inFlight = 0;
-  /** Bytes of the commands in messages without an answer yet. */
+  /** Bytes of the commands in these messages. */
   bytesInFlight = 0;
-  /** When these bytes have arrived at the latest, over a connection that is slow. */
-  arrivingUntil = -Infinity;
-  /** Raised when `next` was set back: answers to earlier messages don't set it back once more. */
+  /** Latest time at which these bytes should have arrived, at the slowest supported transfer rate. */
+  expectedArrival = -Infinity;
+  /** Incremented when `next` moves back, so that answers to earlier messages don't move it back again. */
   round = 0;
-  /** When the newest message that it answered was sent; -Infinity: none. */
-  answeredAt = -Infinity;
-  /** When it was last heard, or became known to this leader. */
-  heardAt: number;
-  /** When the last message was sent. */
+  /** Send time of the newest message that it answered; -Infinity if none. */
+  lastAnsweredSentAt = -Infinity;
+  /** The same, starting at the time when this leader began replicating to it. */
+  lastContactAt: number;
+  /** Time at which the last message was sent. */
   sentAt = -Infinity;
-  /** No message before this time, after one that failed. */
+  /** Time until which nothing is sent, after a failed message. */
   pausedUntil = -Infinity;
-  /** Another replica that answered in its place, after its own last answer. */
-  strangerId: string | undefined;
-  /** Set while the replica is a member. */
+  /** Id of a replica that has answered at its address since its own last answer. */
+  replacementId: string | undefined;
+  /** Whether the replica is still a member. */
   isMember = true;
 
   constructor(
@@ -42,40 +43,40 @@
     now: number,
   ) {
     this.next = lastIndex + 1n;
-    this.heardAt = now;
+    this.lastContactAt = now;
   }
 
-  /** It answered a message sent at `sentAt`. */
-  answered(sentAt: number): void {
-    this.strangerId = undefined;
-    if (sentAt > this.answeredAt) this.answeredAt = sentAt;
-    if (sentAt > this.heardAt) this.heardAt = sentAt;
+  /** Records an answer to a message sent at `sentAt`. */
+  recordAnswer(sentAt: number): void {
+    this.replacementId = undefined;
+    if (sentAt > this.lastAnsweredSentAt) this.lastAnsweredSentAt = sentAt;
+    if (sentAt > this.lastContactAt) this.lastContactAt = sentAt;
   }
 
-  /** It has everything up to `index`, as is known now. @returns whether it had less before. */
-  matched(index: bigint, now: number): boolean {
-    const isMore = index > this.match;
-    if (isMore) {
+  /** Records that it has all entries up to `index`. @returns whether `match` advanced. */
+  recordMatch(index: bigint, now: number): boolean {
+    const hasAdvanced = index > this.match;
+    if (hasAdvanced) {
       this.match = index;
       this.matchedAt = now;
     }
     if (this.next <= this.match) this.next = this.match + 1n;
-    return isMore;
+    return hasAdvanced;
   }
 
   /**
-   * It has entries up to `index` only, fewer than it acknowledged. Returns false when an earlier answer of the
-   * same round has told so.
+   * Records that it only has entries up to `index`, fewer than it acknowledged. Returns false when an earlier answer has
+   * already reported this.
    */
-  lost(index: bigint, round: number): boolean {
+  recordLostEntries(index: bigint, round: number): boolean {
     if (round !== this.round) return false;
     this.match = index;
-    this.setBack(index, round);
+    this.backtrack(index, round);
     return true;
   }
 
-  /** Starts again behind `index`, unless an earlier answer already did. */
-  setBack(index: bigint, round: number): void {
+  /** Moves `next` back to the entry after `index`, unless an earlier answer already moved it back. */
+  backtrack(index: bigint, round: number): void {
     if (round !== this.round) return;
     this.round += 1;
     this.next = (index > this.match ? index : this.match) + 1n;
--- a/packages/coordination/src/agreement/proposal.ts
+++ b/packages/coordination/src/agreement/proposal.ts
@@ -1,32 +1,32 @@
-/** Commands on their way through the log, and what is known of each when it fails. */
+/** Proposed commands and their outcomes. */
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 
-/** Result of a command, or why there is none. */
+/** Result of a command, or the reason of its failure. */
 export type Outcome = Result<Uint8Array, Fault>;
 
-/** A command that waits for its place in the log. */
+/** A command that waits to be appended to the log. */
 export interface Proposal {
   readonly command: Uint8Array;
   readonly settle: (outcome: Outcome) => void;
 }
 
-/** A command in the log that waits to be applied. */
+/** The proposer of a command in the log that is not applied yet. */
 interface Waiter {
   readonly term: bigint;
   readonly settle: (outcome: Outcome) => void;
 }
 
-/** The command was not written anywhere. */
+/** Outcome of a command that was not appended to any log that can still win. */
 export const notWritten = (reason: string): Outcome => err(fault('not-leader', reason, { ran: 'not-run' }));
 
-/** The command may be in logs that can still win. */
+/** Outcome of a command that may still be committed. */
 export const unknownOutcome = (reason: string, cause?: unknown): Outcome =>
   err(fault('no-quorum', reason, { ran: 'may-have-run', cause }));
 
-/** Commands in the log, by index. */
+/** Proposers that wait for commands in the log, by index. */
 export class Waiters {
   private readonly waiting = new Map<bigint, Waiter>();
 
@@ -35,29 +35,29 @@
   }
 
   /**
-   * An entry was applied. When it is of another term, the command that waited here lost its place to it for
-   * good: entries of one index and different terms are never both committed.
+   * Settles the command at an applied index. If the entry is of another term, it has replaced the command for good, as entries
+   * with the same index and different terms are never both committed.
    */
   applied(index: bigint, term: bigint, result: Uint8Array): void {
     const waiter = this.waiting.get(index);
     if (waiter === undefined) return;
     this.waiting.delete(index);
     const isOurs = waiter.term === term;
-    waiter.settle(isOurs ? ok(result) : notWritten('another leader replaced the command'));
+    waiter.settle(isOurs ? ok(result) : notWritten('an entry of another leader replaced the command'));
   }
 
-  /** A snapshot took the place of the entries up to `index`: what became of commands there is not told. */
+  /** Settles the commands up to `index` after a snapshot replaced these entries, which leaves their outcome unknown. */
   skippedTo(index: bigint): void {
     for (const [waitingIndex, waiter] of this.waiting) {
       if (waitingIndex > index) continue;
       this.waiting.delete(waitingIndex);
-      waiter.settle(unknownOutcome('a snapshot covers the command'));
+      waiter.settle(unknownOutcome('a snapshot replaced the log entry of the command'));
     }
   }
 
-  /** The replica closes. */
+  /** Settles all commands when the replica closes. */
   close(): void {
-    for (const waiter of this.waiting.values()) waiter.settle(unknownOutcome('the replica closed'));
+    for (const waiter of this.waiting.values()) waiter.settle(unknownOutcome('the replica was closed'));
     this.waiting.clear();
   }
 }
--- a/packages/coordination/src/agreement/proposing.ts
+++ b/packages/coordination/src/agreement/proposing.ts
@@ -1,4 +1,4 @@
-/** Commands from any replica to the leader, with a truthful account of those that fail. */
+/** Forwards commands and queries from any replica to the leader, and reports whether a failed command may have run. */
 import { create } from '@bufbuild/protobuf';
 import { fault } from '@jasmineroute/core';
 import { err, ok } from 'neverthrow';
@@ -12,124 +12,137 @@
 import type { Outcome } from './proposal.js';
 import type { Replica } from './replica.js';
 
-/** Longest time that a leader works on another replica's command. */
+/** Timeout at the leader for a command that another replica forwarded. */
 const MAX_FORWARDED_MS = 30_000;
 
-/** Pause before the next attempt when there is no leader or it has changed. */
+/** Pause before the next attempt when there is no leader or the leader has changed. */
 const RETRY_MS = 50;
 
-/** What proposing needs. */
-export interface ProposingParts {
+/** Dependencies of `Proposing`. */
+export interface ProposingContext {
   readonly replica: Replica;
   readonly peers: PeerClient;
   readonly joining: Joining;
   readonly leadership: () => Leadership | undefined;
-  /** Answers a query once all up to an index is applied; undefined when that takes too long. */
+  /** Answers a query once all entries up to an index are applied; undefined on timeout. */
   readonly query: (command: Uint8Array, index: bigint, timeoutMs: number) => Promise<Uint8Array | undefined>;
 }
 
-/** What is brought to the leader. */
-interface Brought {
+/** A command or query for the leader. */
+interface Submission {
   readonly command: Uint8Array;
-  /** Answered from the state of the leader, without a place in the log. */
+  /** Whether it is answered from the leader's state, without an entry in the log. */
   readonly query: boolean;
 }
 
-/** Takes commands at one replica. */
+/** Submits commands and queries on one replica. */
 export class Proposing {
-  constructor(private readonly parts: ProposingParts) {}
+  constructor(private readonly context: ProposingContext) {}
 
   /**
-   * Brings a command to the leader and waits for its result. As long as it surely did not run, it is tried
-   * again, until `timeoutMs` is over.
+   * Submits a command to the leader and waits for its result. Retries until `timeoutMs` has passed, as long as the command
+   * has certainly not run.
    */
   propose(command: Uint8Array, timeoutMs: number): Promise<Outcome> {
-    return this.bring({ command, query: false }, timeoutMs);
+    return this.submit({ command, query: false }, timeoutMs);
   }
 
   /**
-   * Has the leader answer a command that changes nothing. It waits behind no other command, and needs no room in the log: only
-   * that a quorum answers a message of the leader's that was sent after the call.
+   * Submits a read-only command to the leader. It does not wait for other commands and adds no entry to the log; it only
+   * requires that a quorum answers a message that the leader sent after the call.
    */
   query(command: Uint8Array, timeoutMs: number): Promise<Outcome> {
-    return this.bring({ command, query: true }, timeoutMs);
+    return this.submit({ command, query: true }, timeoutMs);
   }
 
-  private async bring(brought: Brought, timeoutMs: number): Promise<Outcome> {
-    const { replica } = this.parts;
-    const end = replica.clock.monotonic() + timeoutMs;
-    let last: Outcome = err(fault('no-quorum', 'no leader in time', { ran: 'not-run' }));
+  private async submit(submission: Submission, timeoutMs: number): Promise<Outcome> {
+    const { replica } = this.context;
+    const deadline = replica.clock.monotonic() + timeoutMs;
+    let lastOutcome: Outcome = err(fault('no-quorum', 'no leader in time', { ran: 'not-run' }));
     for (;;) {
-      const left = end - replica.clock.monotonic();
-      if (left <= 0) return last;
-      if (replica.stopped) return err(fault('stopping', 'the replica closed'));
-      const outcome = await this.attempt(brought, left);
+      const remainingMs = deadline - replica.clock.monotonic();
+      if (remainingMs <= 0) return lastOutcome;
+      if (replica.stopped) return err(fault('stopping', 'the replica was closed'));
+      const outcome = await this.attempt(submission, remainingMs);
       if (outcome !== undefined) {
         const isFinal = outcome.isOk() || outcome.error.ran !== 'not-run' || !isTransient(outcome.error.kind);
         if (isFinal) return outcome;
-        last = outcome;
+        lastOutcome = outcome;
       }
-      await replica.changed.waitFor(replica.clock, Math.min(RETRY_MS, left));
+      await replica.changed.waitFor(replica.clock, Math.min(RETRY_MS, remainingMs));
     }
   }
 
   /**
-   * Keeps an eye on the connection to the leader. A command may wait long for a quorum, so a wait says nothing
-   * of the connection, and one that went silent while idle would cost a caller the outcome of its command. A
-   * short call now and then finds out: without an answer, the connection is dropped and calls on it end.
+   * Probes the connection to the leader periodically until the replica stops. A forwarded command may wait long for a quorum,
+   * so its timeout can't detect a dead connection, and the caller would not learn its outcome. A short call that times out
+   * drops the connection, which ends the calls on it.
    */
-  async watchLeader(): Promise<void> {
-    const { replica, joining } = this.parts;
+  async probeLeader(): Promise<void> {
+    const { replica, joining } = this.context;
     while (!replica.stopped) {
       const address = this.leaderAddress();
-      if (address !== undefined) await joining.ask(address);
+      if (address !== undefined) await joining.identify(address);
       await replica.clock.sleep(replica.tuning.rpcTimeoutMs);
     }
   }
 
-  /** Answers a command that another replica forwarded; never forwards it once more. */
-  async answer({ command, query }: Brought): Promise<ProposeResponse> {
-    const { replica } = this.parts;
+  /** Answers a command that another replica forwarded; never forwards it again. */
+  async answer({ command, query }: Submission): Promise<ProposeResponse> {
+    const { replica } = this.context;
     const leader = replica.leader ?? '';
     if (replica.stopped) return create(ProposeResponseSchema, { redirected: true, leader });
-    const outcome = await this.local({ command, query }, MAX_FORWARDED_MS);
+    const outcome = await this.executeLocally({ command, query }, MAX_FORWARDED_MS);
     if (outcome === undefined) return create(ProposeResponseSchema, { redirected: true, leader });
     if (outcome.isOk()) return create(ProposeResponseSchema, { result: outcome.value });
     const isNotRun = outcome.error.ran === 'not-run';
     return create(ProposeResponseSchema, { redirected: isNotRun, leader, unknown: !isNotRun });
   }
 
-  /** One attempt; undefined when there is no leader to try. */
-  private attempt(brought: Brought, timeoutMs: number): Promise<Outcome | undefined> {
-    const { replica } = this.parts;
-    if (replica.role === 'leader') return this.local(brought, timeoutMs);
+  /** Makes one attempt; undefined when no leader is known. */
+  private attempt(submission: Submission, timeoutMs: number): Promise<Outcome | undefined> {
+    const { replica } = this.context;
+    if (replica.role === 'leader') return this.executeLocally(submission, timeoutMs);
     const address = this.leaderAddress();
-    return address === undefined ? Promise.resolve(undefined) : this.forward(address, brought, timeoutMs);
+    return address === undefined ? Promise.resolve(undefined) : this.forward(address, submission, timeoutMs);
   }
 
   private leaderAddress(): string | undefined {
-    const { replica } = this.parts;
+    const { replica } = this.context;
     return replica.others.find(({ name }) => name === replica.leader)?.address;
   }
 
-  private async local({ command, query }: Brought, timeoutMs: number): Promise<Outcome | undefined> {
-    const current = this.parts.leadership();
-    if (current?.isActive !== true) return undefined;
-    return query ? this.ask(current, command, timeoutMs) : this.commit(current, command, timeoutMs);
+  private async executeLocally(
+    { command, query }: Submission,
+    timeoutMs: number,
+  ): Promise<Outcome | undefined> {
+    const leadership = this.context.leadership();
+    if (leadership?.isActive !== true) return undefined;
+    return query
+      ? this.queryLocally(leadership, command, timeoutMs)
+      : this.proposeLocally(leadership, command, timeoutMs);
   }
 
-  private async ask(current: Leadership, command: Uint8Array, timeoutMs: number): Promise<Outcome> {
-    const { clock } = this.parts.replica;
-    const endsAt = clock.monotonic() + timeoutMs;
-    const index = await current.confirm(timeoutMs);
+  private async queryLocally(
+    leadership: Leadership,
+    command: Uint8Array,
+    timeoutMs: number,
+  ): Promise<Outcome> {
+    const { clock } = this.context.replica;
+    const deadline = clock.monotonic() + timeoutMs;
+    const index = await leadership.readIndex(timeoutMs);
     if (index === undefined) return notConfirmed();
-    const answer = await this.parts.query(command, index, endsAt - clock.monotonic());
+    const answer = await this.context.query(command, index, deadline - clock.monotonic());
     return answer === undefined ? notConfirmed() : ok(answer);
   }
 
-  private async commit(current: Leadership, command: Uint8Array, timeoutMs: number): Promise<Outcome> {
-    const { replica } = this.parts;
-    const begunAt = replica.clock.monotonic();
+  private async proposeLocally(
+    leadership: Leadership,
+    command: Uint8Array,
+    timeoutMs: number,
+  ): Promise<Outcome> {
+    const { replica } = this.context;
+    const startedAt = replica.clock.monotonic();
     const outcome = await new Promise<Outcome>((resolve) => {
       const cancel = replica.clock.after(timeoutMs, () => {
         resolve(unknownOutcome('no quorum in time'));
@@ -138,17 +151,17 @@
         cancel();
         resolve(settled);
       };
-      current.propose({ command, settle });
+      leadership.propose({ command, settle });
     });
     if (outcome.isOk()) {
-      replica.metrics.timing(coordinationMetrics.commit, replica.clock.monotonic() - begunAt);
+      replica.metrics.timing(coordinationMetrics.commit, replica.clock.monotonic() - startedAt);
     }
     return outcome;
   }
 
-  private async forward(address: string, brought: Brought, timeoutMs: number): Promise<Outcome> {
-    const { peers, replica } = this.parts;
-    const request = create(ProposeRequestSchema, brought);
+  private async forward(address: string, submission: Submission, timeoutMs: number): Promise<Outcome> {
+    const { peers, replica } = this.context;
+    const request = create(ProposeRequestSchema, submission);
     const answer = await peers.call(address, (client, signal) => client.propose(request, { signal }), {
       timeoutMs,
     });
@@ -158,15 +171,15 @@
       return isUnsent ? err(answer.error) : unknownOutcome(answer.error.message, answer.error);
     }
     const { result, redirected, unknown } = answer.value;
-    if (unknown) return unknownOutcome('the leader lost its quorum');
-    if (redirected) return err(fault('not-leader', `${address} does not lead`, { ran: 'not-run' }));
+    if (unknown) return unknownOutcome('the leader could not confirm whether the command was committed');
+    if (redirected) return err(fault('not-leader', `${address} is not the leader`, { ran: 'not-run' }));
     return ok(result);
   }
 }
 
-/** A query changes nothing, so it is known not to have run when it was not answered. */
+/** A query is read-only, so without an answer it counts as not run. */
 const notConfirmed = (): Outcome =>
   err(fault('no-quorum', 'no quorum confirmed the leader in time', { ran: 'not-run' }));
 
-/** Kinds after which another attempt can succeed within the caller's time. */
+/** Whether another attempt may succeed after an error of this kind. */
 const isTransient = (kind: string): boolean => kind !== 'storage-failed';
--- a/packages/coordination/src/agreement/replica.ts
+++ b/packages/coordination/src/agreement/replica.ts
@@ -1,4 +1,4 @@
-/** State that the tasks of one replica share, and the changes to it that must not interleave. */
+/** Shared state of one replica, and the state changes that must run one at a time. */
 import { fault } from '@jasmineroute/core';
 import type { Clock, Fault, Log, Metrics } from '@jasmineroute/core';
 import { err, ok } from 'neverthrow';
@@ -11,11 +11,11 @@
 import type { Tuning } from './options.js';
 import { Mutex, Signal } from './signal.js';
 
-/** What a replica is doing in its term. */
+/** Role of a replica in its current term. */
 export type Role = 'follower' | 'candidate' | 'leader';
 
-/** What a replica is made with. */
-export interface ReplicaParts {
+/** Dependencies and recovered state of a replica. */
+export interface ReplicaOptions {
   readonly name: string;
   readonly storage: LogStorage;
   readonly recovered: Recovered;
@@ -26,7 +26,7 @@
   readonly random: () => number;
 }
 
-/** One replica. Everything that changes term, vote or log runs in `exclusive`. */
+/** State of one replica. Every change of term, vote or log runs in `exclusive`. */
 export class Replica {
   readonly name: string;
   readonly clock: Clock;
@@ -38,8 +38,8 @@
   readonly entries = new EntryLog();
   /** Fires on every change of role, term, leader, commit index or configuration, and on stop. */
   readonly changed = new Signal();
-  /** Fires when a step of a change of replicas may have become due. */
-  readonly memberNews = new Signal();
+  /** Fires when a membership change may be able to take its next step. */
+  readonly membershipSignal = new Signal();
   address = '';
   role: Role = 'follower';
   /** Name of the leader of the current term, once known. */
@@ -47,32 +47,32 @@
   commitIndex: bigint;
   /** Monotonic time of the last commit. */
   committedAt = -Infinity;
-  /** Entries up to here survive a crash of this replica. */
+  /** Index up to which entries are synced to disk and survive a crash. */
   syncedIndex: bigint;
-  /** Monotonic time before which no election begins here. */
-  quietSince: number;
-  /** Monotonic time of the last message of a leader; undefined: none since the start. */
-  leaderHeardAt: number | undefined;
+  /** Monotonic time at which the election timer was last reset. */
+  electionTimerStart: number;
+  /** Monotonic time of the last message from a leader; undefined if none since the start. */
+  lastLeaderContact: number | undefined;
   /** Monotonic time until which the replica does not stand for election. */
-  abstainUntil = 0;
+  noCandidacyUntil = 0;
   stopped = false;
   private state: PersistentState;
   private readonly mutex = new Mutex();
 
-  constructor(parts: ReplicaParts) {
-    const { recovered } = parts;
-    this.name = parts.name;
-    this.clock = parts.clock;
-    this.log = parts.log;
-    this.metrics = parts.metrics;
-    this.tuning = parts.tuning;
-    this.random = parts.random;
-    this.storage = parts.storage;
+  constructor(options: ReplicaOptions) {
+    const { recovered } = options;
+    this.name = options.name;
+    this.clock = options.clock;
+    this.log = options.log;
+    this.metrics = options.metrics;
+    this.tuning = options.tuning;
+    this.random = options.random;
+    this.storage = options.storage;
     this.state = recovered.state;
-    this.quietSince = parts.clock.monotonic();
-    const base = recovered.snapshot;
-    if (base !== undefined) {
-      this.entries.reset({ index: base.lastIndex, term: base.lastTerm }, base.configuration);
+    this.electionTimerStart = options.clock.monotonic();
+    const snapshot = recovered.snapshot;
+    if (snapshot !== undefined) {
+      this.entries.reset({ index: snapshot.lastIndex, term: snapshot.lastTerm }, snapshot.configuration);
     }
     this.entries.append(recovered.entries);
     this.commitIndex = this.entries.start.index;
@@ -91,12 +91,15 @@
     return this.state.votedFor;
   }
 
-  /** Cluster that the replica belongs to, or empty. The founder's first entry can outlive the state file. */
+  /**
+   * Id of the cluster, or empty. A founder that crashed may have the first entry in its log, but not yet the cluster id in
+   * its state file.
+   */
   get clusterId(): string {
     return this.state.clusterId === '' ? (this.configuration?.clusterId ?? '') : this.state.clusterId;
   }
 
-  /** The newest configuration in the log, in force as soon as it is written. */
+  /** Latest configuration in the log, in effect as soon as it is appended. */
   get configuration(): Configuration | undefined {
     return this.entries.configuration().configuration;
   }
@@ -115,22 +118,22 @@
     return membersOf(this.configuration).filter((member) => member.replicaId !== this.id);
   }
 
-  /** Runs changes one after the other. */
+  /** Runs actions one at a time, in the order of the calls. */
   exclusive<T>(action: () => Promise<T>): Promise<T> {
     return this.mutex.run(action);
   }
 
-  /** Notes a sign of life of a leader or a vote given: no election for now. */
-  rest(): void {
-    this.quietSince = this.clock.monotonic();
+  /** Resets the election timer after a leader's message or a granted vote. */
+  resetElectionTimer(): void {
+    this.electionTimerStart = this.clock.monotonic();
   }
 
-  /** Writes term and vote; they count only once synced. Exclusive. */
-  async save(change: Partial<PersistentState>): Promise<Result<void, Fault>> {
+  /** Persists term, vote or cluster id; the change takes effect only once synced. Call within `exclusive`. */
+  async saveState(change: Partial<PersistentState>): Promise<Result<void, Fault>> {
     const next = { ...this.state, ...change };
     const saved = await this.storage.saveState(next);
     if (saved.isErr()) {
-      this.failed(saved.error);
+      this.handleStorageFailure(saved.error);
       return saved;
     }
     this.state = next;
@@ -138,77 +141,79 @@
     return saved;
   }
 
-  /** Moves on to a higher term as a follower. Exclusive. */
+  /** Adopts a higher term as a follower. Call within `exclusive`. */
   async observeTerm(term: bigint): Promise<Result<void, Fault>> {
     if (term <= this.term) return ok();
     this.becomeFollower('higher term');
     this.leader = undefined;
-    return this.save({ term, votedFor: '' });
+    return this.saveState({ term, votedFor: '' });
   }
 
-  /** Stops leading or standing for election. */
+  /** Steps down as leader or candidate. */
   becomeFollower(reason: string): void {
     if (this.role === 'leader') {
       this.log.event(coordinationEvents.steppedDown, { term: this.term.toString(), reason });
       this.leader = undefined;
-      this.rest();
+      this.resetElectionTimer();
     }
     this.role = 'follower';
     this.changed.notify();
   }
 
-  /** Belongs to a cluster from now on. Exclusive. */
+  /** Persists that this replica belongs to a cluster. Call within `exclusive`. */
   async adoptCluster(clusterId: string): Promise<Result<void, Fault>> {
     if (this.state.clusterId === clusterId) return ok();
-    const saved = await this.save({ clusterId });
+    const saved = await this.saveState({ clusterId });
     if (saved.isOk()) this.log.event(coordinationEvents.joined, { cluster: clusterId, replica: this.id });
     return saved;
   }
 
-  /** Writes entries behind the last one, not yet synced. Exclusive. */
+  /** Appends entries to the log without syncing them. Call within `exclusive`. */
   async appendEntries(entries: readonly Entry[]): Promise<Result<void, Fault>> {
     const written = await this.storage.write(entries);
     if (written.isErr()) {
-      this.failed(written.error);
+      this.handleStorageFailure(written.error);
       return written;
     }
-    const before = this.configuration;
+    const previous = this.configuration;
     this.entries.append(entries);
-    this.noteConfiguration(before);
+    this.reportConfigurationChange(previous);
     return written;
   }
 
-  /** Drops entries that a leader of a later term does not have. Exclusive. */
+  /** Removes entries from `index` on that conflict with the log of a later leader. Call within `exclusive`. */
   async truncateEntries(index: bigint): Promise<Result<void, Fault>> {
-    if (index <= this.commitIndex) return err(fault('internal', `entry ${index.toString()} is committed`));
-    const cut = await this.storage.truncate(index);
-    if (cut.isErr()) {
-      this.failed(cut.error);
-      return cut;
+    if (index <= this.commitIndex)
+      return err(fault('internal', `cannot truncate at ${index.toString()}: the entry is committed`));
+    const truncated = await this.storage.truncate(index);
+    if (truncated.isErr()) {
+      this.handleStorageFailure(truncated.error);
+      return truncated;
     }
-    const before = this.configuration;
+    const previous = this.configuration;
     this.entries.truncate(index);
     if (this.syncedIndex >= index) this.syncedIndex = index - 1n;
-    this.noteConfiguration(before);
-    return cut;
+    this.reportConfigurationChange(previous);
+    return truncated;
   }
 
-  /** Makes entries up to `index`, all written before, survive a crash. */
+  /** Syncs entries up to `index`, all of them already written, to disk. */
   async syncEntries(index: bigint): Promise<Result<void, Fault>> {
     if (index <= this.syncedIndex) return ok();
     const term = this.term;
     const synced = await this.storage.sync();
     if (synced.isErr()) {
-      this.failed(synced.error);
+      this.handleStorageFailure(synced.error);
       return synced;
     }
-    // In a later term the entries may have been cut off again while the sync ran.
-    if (term !== this.term) return err(fault('not-leader', 'the term changed', { ran: 'may-have-run' }));
+    // A leader of a later term may have truncated these entries while the sync ran.
+    if (term !== this.term)
+      return err(fault('not-leader', 'the term changed while entries were synced', { ran: 'may-have-run' }));
     if (index > this.syncedIndex) this.syncedIndex = index;
     return synced;
   }
 
-  /** Entries up to `index` are committed. */
+  /** Advances the commit index. */
   commitTo(index: bigint): void {
     if (index <= this.commitIndex) return;
     this.commitIndex = index;
@@ -217,12 +222,12 @@
   }
 
   /**
-   * A replica that can't write must not lead: every command would wait for others, or fail. It steps down and
-   * leaves the election to replicas whose disks work.
+   * Steps down and pauses candidacy after a storage error. With a leader that can't write, every command would fail or wait
+   * for the other replicas, so a replica with a working disk should be elected.
    */
-  failed(cause: Fault): void {
+  handleStorageFailure(cause: Fault): void {
     this.log.event(coordinationEvents.storageFailed, { reason: cause.message });
-    this.abstainUntil = this.clock.monotonic() + this.tuning.storageRestMs;
+    this.noCandidacyUntil = this.clock.monotonic() + this.tuning.storageRestMs;
     this.becomeFollower('storage failed');
   }
 
@@ -232,13 +237,13 @@
     this.changed.notify();
   }
 
-  private noteConfiguration(before: Configuration | undefined): void {
-    const now = this.configuration;
-    if (now === before || now === undefined) return;
+  private reportConfigurationChange(previous: Configuration | undefined): void {
+    const current = this.configuration;
+    if (current === previous || current === undefined) return;
     const names = (members: readonly Voter[]): string[] => members.map(({ name }) => name);
     this.log.event(coordinationEvents.configuration, {
-      voters: names(now.voters),
-      learners: names(now.learners),
+      voters: names(current.voters),
+      learners: names(current.learners),
     });
     this.changed.notify();
   }
--- a/packages/coordination/src/agreement/replicatedLog.ts
+++ b/packages/coordination/src/agreement/replicatedLog.ts
@@ -1,4 +1,4 @@
-/** A durable log that replicas agree on, driving a state machine. */
+/** A durable replicated log that drives a state machine. */
 import { silentMetrics, fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import { Code, ConnectError } from '@connectrpc/connect';
@@ -30,21 +30,24 @@
 import { requestChecks } from './requestCheck.js';
 import { reportOf } from './status.js';
 
-/** Pause between looks at a change of replicas. */
-const LOOK_MS = 50;
+/** Interval at which a membership change is checked for completion. */
+const CHANGE_POLL_MS = 50;
 
-/** Refuses requests that can't be acted on. */
-function checked<Request, Answer>(
-  isUsable: (request: Request) => boolean,
+/** Wraps a handler so that invalid requests are rejected. */
+function validated<Request, Answer>(
+  isValid: (request: Request) => boolean,
   answer: (request: Request) => Promise<Answer>,
 ): (request: Request) => Promise<Answer> {
   return (request) => {
-    if (isUsable(request)) return answer(request);
-    throw new ConnectError('the request lacks what it can not do without', Code.InvalidArgument);
+    if (isValid(request)) return answer(request);
+    throw new ConnectError(
+      'invalid request: a required field is missing or inconsistent',
+      Code.InvalidArgument,
+    );
   };
 }
 
-const isReachable = ({ name, address }: ReplicaAddress): boolean => name !== '' && address !== '';
+const hasAddress = ({ name, address }: ReplicaAddress): boolean => name !== '' && address !== '';
 
 /** One replica of a replicated log. */
 export class ReplicatedLog {
@@ -64,20 +67,29 @@
 
   private constructor(options: ReplicatedLogOptions, storage: LogStorage, recovered: Recovered) {
     const { name, clock, log, metrics = silentMetrics, random = Math.random } = options;
-    const parts = { name, storage, recovered, clock, log, metrics, random, tuning: tuning.parse(options) };
-    const replica = new Replica(parts);
+    const replicaOptions = {
+      name,
+      storage,
+      recovered,
+      clock,
+      log,
+      metrics,
+      random,
+      tuning: tuning.parse(options),
+    };
+    const replica = new Replica(replicaOptions);
     const { connect, drop, onFailure = () => undefined } = options;
     this.onFailure = onFailure;
     const leadership = (): Leadership | undefined => this.leadership;
     this.replica = replica;
     const { rpcTimeoutMs, slowRpcTimeoutMs } = replica.tuning;
-    const waits = { leastMs: rpcTimeoutMs, mostMs: slowRpcTimeoutMs };
-    this.peers = new PeerClient({ connect, drop, clock, log, metrics, waits });
+    const timeoutBounds = { leastMs: rpcTimeoutMs, mostMs: slowRpcTimeoutMs };
+    this.peers = new PeerClient({ connect, drop, clock, log, metrics, timeoutBounds });
     this.applier = new Applier(replica, options.stateMachine, this.waiters);
     this.follower = new Follower(replica, (snapshot) => {
       this.applier.restore(snapshot);
     });
-    this.election = new Election(replica, this.peers, (term) => this.lead(term));
+    this.election = new Election(replica, this.peers, (term) => this.becomeLeader(term));
     this.joining = new Joining(replica, this.peers, options.initialReplicas, () => this.report());
     this.reconfiguration = new Reconfiguration(replica, this.joining);
     this.contact = new Contact(replica, this.applier, this.follower, leadership);
@@ -101,11 +113,13 @@
   /** Adds the service between replicas to the process's server. */
   routes(router: ConnectRouter): void {
     router.service(Agreement, {
-      vote: checked(requestChecks.vote, (request) => this.serve(() => this.election.vote(request))),
-      append: checked(requestChecks.append, (request) => this.serve(() => this.follower.append(request))),
-      install: checked(requestChecks.install, (request) => this.serve(() => this.follower.install(request))),
-      join: checked(requestChecks.join, (request) => this.serve(() => this.joining.answer(request))),
-      propose: checked(requestChecks.propose, (request) => this.proposing.answer(request)),
+      vote: validated(requestChecks.vote, (request) => this.ifOpen(() => this.election.vote(request))),
+      append: validated(requestChecks.append, (request) => this.ifOpen(() => this.follower.append(request))),
+      install: validated(requestChecks.install, (request) =>
+        this.ifOpen(() => this.follower.install(request)),
+      ),
+      join: validated(requestChecks.join, (request) => this.ifOpen(() => this.joining.answer(request))),
+      propose: validated(requestChecks.propose, (request) => this.proposing.answer(request)),
     });
   }
 
@@ -118,27 +132,27 @@
       this.task(this.election.run()),
       this.task(this.contact.run()),
     ]);
-    void this.task(this.proposing.watchLeader());
+    void this.task(this.proposing.probeLeader());
     return Promise.resolve();
   }
 
   /**
-   * Puts a command into the log, from any replica, and waits until it is applied at the leader.
-   * Errors: not-leader, no-quorum, storage-failed, stopping; `ran` is not-run only when that is proved.
+   * Proposes a command, on any replica, and waits until it is applied on the leader. Errors: not-leader, no-quorum,
+   * storage-failed, stopping; `ran` is not-run only when the command has certainly not run.
    */
   propose(command: Uint8Array, timeoutMs: number): Promise<Result<Uint8Array, Fault>> {
     return this.proposing.propose(command, timeoutMs);
   }
 
   /**
-   * Has the leader answer a command that changes nothing, from any replica: all that was accepted before the call shows in the
-   * answer. Errors: not-leader, no-quorum, stopping.
+   * Runs a read-only command on the leader, from any replica. The read is linearizable: the answer reflects every command that
+   * was committed before the call. Errors: not-leader, no-quorum, stopping.
    */
   query(command: Uint8Array, timeoutMs: number): Promise<Result<Uint8Array, Fault>> {
     return this.proposing.query(command, timeoutMs);
   }
 
-  /** What this replica knows of itself. */
+  /** Current status of this replica. */
   status(): ReplicaStatus {
     const { replica } = this;
     return {
@@ -154,31 +168,32 @@
     };
   }
 
-  /** Calls the listener when role, term, leader, configuration or `vouched` changed. Returns the way to call it off. */
+  /** Calls the listener when role, term, leader, configuration or `vouched` changes. Returns the unsubscribe function. */
   onStatus(listener: (status: ReplicaStatus) => void): () => void {
-    const tell = (): void => {
+    const notify = (): void => {
       listener(this.status());
     };
-    this.contact.listeners.add(tell);
-    return () => this.contact.listeners.delete(tell);
+    this.contact.listeners.add(notify);
+    return () => this.contact.listeners.delete(notify);
   }
 
-  /** Calls the listener with each applied index, also that of a restored snapshot. */
+  /** Calls the listener with each applied index, including that of a restored snapshot. Returns the unsubscribe function. */
   onApplied(listener: (index: bigint) => void): () => void {
     this.applier.listeners.add(listener);
     return () => this.applier.listeners.delete(listener);
   }
 
   /**
-   * Makes the wanted replicas the voters, in single steps: a new one learns everything before it votes.
-   * Call it on all replicas, also after a restart; the leader acts. Resolves when it is done; with an error
-   * not-leader here, or no-quorum when it takes too long: the leader goes on all the same.
+   * Makes the desired replicas the voters, in single steps; a new one catches up as a learner before it votes. Call it on all
+   * replicas, also after a restart; the leader makes the change. Resolves when the change is committed. Errors: not-leader on
+   * the other replicas, no-quorum on timeout, after which the leader still continues the change.
    */
-  async changeReplicas(wanted: readonly ReplicaAddress[]): Promise<Result<void, Fault>> {
-    if (wanted.length === 0) return err(fault('invalid-request', 'at least one replica must remain'));
-    if (!wanted.every(isReachable))
-      return err(fault('invalid-request', 'a replica has a name and an address'));
-    this.reconfiguration.want(wanted);
+  async changeReplicas(desired: readonly ReplicaAddress[]): Promise<Result<void, Fault>> {
+    if (desired.length === 0)
+      return err(fault('invalid-request', 'a change of replicas needs at least one replica'));
+    if (!desired.every(hasAddress))
+      return err(fault('invalid-request', 'a replica needs a name and an address'));
+    this.reconfiguration.setDesired(desired);
     return this.changed(() => this.reconfiguration.isDone());
   }
 
@@ -188,19 +203,18 @@
   }
 
   /**
-   * Adds a voter to those there are; a known name with an empty disk is replaced all the same. Acts on the leader
-   * only. The wish is forgotten at the end: a replica that led before and still had it would otherwise take in again,
-   * once it leads, an instance that is gone.
+   * Adds a voter; for a known name with an empty disk, replaces the old voter. Works on the leader only. The request is dropped
+   * when the call ends; otherwise a former leader that is elected again could add an instance that no longer exists.
    */
   async enlist(added: ReplicaAddress): Promise<Result<void, Fault>> {
-    if (!isReachable(added)) return err(fault('invalid-request', 'a replica has a name and an address'));
+    if (!hasAddress(added)) return err(fault('invalid-request', 'a replica needs a name and an address'));
     this.reconfiguration.add(added);
-    const changed = await this.changed(() => this.reconfiguration.isVoter(added));
-    this.reconfiguration.forget(added);
-    return changed;
+    const waitForChange = await this.changed(() => this.reconfiguration.isVoter(added));
+    this.reconfiguration.cancelAdd(added);
+    return waitForChange;
   }
 
-  /** Asks all replicas for their status; those without an answer are marked unreachable. */
+  /** Queries the status of all replicas; those without an answer are marked unreachable. */
   async replicas(): Promise<ReplicaReport[]> {
     const { replica } = this;
     const members = membersOf(replica.configuration);
@@ -209,14 +223,14 @@
         const answer =
           member.replicaId === replica.id
             ? { replica: replica.self, ...this.report() }
-            : await this.joining.ask(member.address);
+            : await this.joining.identify(member.address);
         const isVoter = replica.configuration?.voters.includes(member) ?? false;
         return reportOf(member, isVoter, answer);
       }),
     );
   }
 
-  /** Stops at once: gives up leading, closes the files and the folder's lock. */
+  /** Stops the replica immediately: steps down, closes the files and releases the lock of the folder. */
   async close(): Promise<void> {
     this.replica.stop();
     this.waiters.close();
@@ -224,20 +238,22 @@
     await this.replica.exclusive(() => this.replica.storage.close());
   }
 
-  /** A closed replica's folder may be in other hands already. */
-  private serve<T>(action: () => Promise<T>): Promise<T> {
-    if (this.replica.stopped) throw new ConnectError('the replica is closed', Code.Unavailable);
+  /** Rejects calls to a closed replica, whose folder another process may already have opened. */
+  private ifOpen<T>(action: () => Promise<T>): Promise<T> {
+    if (this.replica.stopped) throw new ConnectError('the replica was closed', Code.Unavailable);
     return action();
   }
 
-  /** Waits for the leader's task to bring a change of replicas about. */
+  /** Waits until the leader's task has completed a membership change. */
   private async changed(isDone: () => boolean): Promise<Result<void, Fault>> {
     const { replica } = this;
-    const end = replica.clock.monotonic() + replica.tuning.changeTimeoutMs;
+    const deadline = replica.clock.monotonic() + replica.tuning.changeTimeoutMs;
     while (!isDone()) {
-      if (replica.role !== 'leader') return err(fault('not-leader', `${replica.leader ?? 'nobody'} leads`));
-      if (replica.clock.monotonic() >= end) return err(fault('no-quorum', 'the change is still going on'));
-      await replica.changed.waitFor(replica.clock, LOOK_MS);
+      if (replica.role !== 'leader')
+        return err(fault('not-leader', `not the leader; the leader is ${replica.leader ?? 'unknown'}`));
+      if (replica.clock.monotonic() >= deadline)
+        return err(fault('no-quorum', 'the change of replicas is not complete yet'));
+      await replica.changed.waitFor(replica.clock, CHANGE_POLL_MS);
     }
     return ok();
   }
@@ -256,17 +272,17 @@
     return { term, commitIndex, lastApplied, vouched, state };
   }
 
-  /** Takes the lead of a term that was won, unless it is over by now. */
-  private async lead(term: bigint): Promise<void> {
+  /** Becomes leader of a term after winning its election, unless the term has ended since. */
+  private async becomeLeader(term: bigint): Promise<void> {
     const { replica, peers, waiters } = this;
     const snapshot = () => this.applier.snapshot();
-    const unseated = (): void => {
-      this.election.standAtOnce();
+    const onDeposed = (): void => {
+      this.election.campaignImmediately();
     };
-    const start = (task: Promise<void>): void => {
-      void this.task(task);
+    const startTask = (supervise: Promise<void>): void => {
+      void this.task(supervise);
     };
-    const leadership = new Leadership({ replica, peers, waiters, snapshot, unseated, start }, term);
+    const leadership = new Leadership({ replica, peers, waiters, snapshot, onDeposed, startTask }, term);
     const isLeader = await replica.exclusive(() => {
       if (replica.role !== 'candidate' || replica.term !== term) return Promise.resolve(false);
       replica.role = 'leader';
@@ -280,7 +296,7 @@
     void this.task(this.reconfiguration.run(leadership));
   }
 
-  /** A task that throws has met a bug: it is logged, and the replica stops rather than go on without it. */
+  /** Logs an unexpected error of a task and stops the replica, which must not continue without the task. */
   private async task(running: Promise<void>): Promise<void> {
     try {
       await running;
--- a/packages/coordination/src/agreement/replication.ts
+++ b/packages/coordination/src/agreement/replication.ts
@@ -1,4 +1,4 @@
-/** The task that keeps one replica's log equal to the leader's. */
+/** Replication of the leader's log to one other replica. */
 import { create } from '@bufbuild/protobuf';
 import { coordinationEvents } from '../events.js';
 import { AppendRequestSchema, InstallRequestSchema } from '../gen/agreement/agreement_pb.js';
@@ -9,76 +9,78 @@
 import type { AgreementClient } from './peerClient.js';
 import type { Progress } from './progress.js';
 
-/** A message on its way. */
-interface Sent {
+/** An append request that was sent; `at` is the monotonic time, `round` that of the progress when it was sent. */
+interface SentAppend {
   readonly request: AppendRequest;
   readonly at: number;
   readonly round: number;
 }
 
-/** Entries and snapshots may wait for a slow disk; whether the connection lives is told by the heartbeats. */
-const APPEND_WAITS = 6;
+/** Factor on the timeout of entries and snapshots, which may wait for a slow disk. Heartbeats detect dead connections. */
+const APPEND_TIMEOUT_FACTOR = 6;
 
-/** Sends entries, heartbeats and snapshots until the term or the membership ends. */
+/** Sends entries, heartbeats and snapshots to a replica until the term or its membership ends. */
 export async function replicate(leadership: Leadership, progress: Progress): Promise<void> {
-  const { replica, start } = leadership.parts;
+  const { replica, startTask } = leadership.context;
   while (leadership.isActive && progress.isMember) {
     if (progress.next <= replica.entries.start.index) {
-      await install(leadership, progress);
+      await sendSnapshot(leadership, progress);
       continue;
     }
-    if (isDue(leadership, progress)) {
-      start(send(leadership, progress));
+    if (isMessageDue(leadership, progress)) {
+      startTask(send(leadership, progress));
       continue;
     }
-    await leadership.work.waitFor(replica.clock, untilDue(leadership, progress));
+    await leadership.work.waitFor(replica.clock, msUntilDue(leadership, progress));
   }
 }
 
-/** Milliseconds until the next heartbeat, or the end of the pause after a failure. */
-function untilDue(leadership: Leadership, progress: Progress): number {
-  const { clock, tuning, committedAt } = leadership.parts.replica;
+/** Milliseconds until the next message without entries may be due, or the pause after a failure ends. */
+function msUntilDue(leadership: Leadership, progress: Progress): number {
+  const { clock, tuning, committedAt } = leadership.context.replica;
   const heartbeat = progress.sentAt + tuning.heartbeatMs;
-  const notice = isNoticeOpen(leadership, progress) ? committedAt + tuning.commitNoticeMs : heartbeat;
-  const confirmation = leadership.wantsMessage(progress.sentAt)
+  const commitNotice = isCommitNoticePending(leadership, progress)
+    ? committedAt + tuning.commitNoticeMs
+    : heartbeat;
+  const confirmation = leadership.isConfirmationDue(progress.sentAt)
     ? progress.sentAt + tuning.commitNoticeMs
     : heartbeat;
-  const due = Math.max(Math.min(heartbeat, notice, confirmation), progress.pausedUntil);
+  const due = Math.max(Math.min(heartbeat, commitNotice, confirmation), progress.pausedUntil);
   return Math.max(1, due - clock.monotonic());
 }
 
-/** Whether the replica has not been told of the last commit, and no message is on its way. */
-function isNoticeOpen(leadership: Leadership, progress: Progress): boolean {
-  return progress.inFlight === 0 && progress.toldCommit < leadership.parts.replica.commitIndex;
+/** Whether the replica was not sent the current commit index, and no message is in flight. */
+function isCommitNoticePending(leadership: Leadership, progress: Progress): boolean {
+  return progress.inFlight === 0 && progress.sentCommitIndex < leadership.context.replica.commitIndex;
 }
 
-/** Whether a message is due: entries to send and room for them, a commit to tell of, or a heartbeat. */
-function isDue(leadership: Leadership, progress: Progress): boolean {
-  const { replica } = leadership.parts;
+/** Whether a message is due: entries that fit the limits, a new commit index, a read confirmation, or a heartbeat. */
+function isMessageDue(leadership: Leadership, progress: Progress): boolean {
+  const { replica } = leadership.context;
   const { heartbeatMs, maxInFlight, groupCommit, commitNoticeMs } = replica.tuning;
   const now = replica.clock.monotonic();
   if (now < progress.pausedUntil) return false;
   if (now - progress.sentAt >= heartbeatMs) return true;
-  if (leadership.wantsMessage(progress.sentAt) && now - progress.sentAt >= commitNoticeMs) return true;
+  if (leadership.isConfirmationDue(progress.sentAt) && now - progress.sentAt >= commitNoticeMs) return true;
   if (progress.inFlight >= (groupCommit ? maxInFlight : 1)) return false;
-  if (progress.next <= replica.entries.last.index) return hasRoom(leadership, progress);
-  return isNoticeOpen(leadership, progress) && now >= replica.committedAt + commitNoticeMs;
+  if (progress.next <= replica.entries.last.index) return hasSendRoom(leadership, progress);
+  return isCommitNoticePending(leadership, progress) && now >= replica.committedAt + commitNoticeMs;
 }
 
 /**
- * Whether the next entry may be sent beside those that are under way. Messages share a connection: with too many of them each
- * is late, and all are given up together.
+ * Whether the next entry fits the limit of bytes in flight. Messages share a connection: too many at once delay each other
+ * until all of them time out together.
  */
-function hasRoom(leadership: Leadership, progress: Progress): boolean {
-  const { entries, tuning } = leadership.parts.replica;
+function hasSendRoom(leadership: Leadership, progress: Progress): boolean {
+  const { entries, tuning } = leadership.context.replica;
   const bytes = entries.at(progress.next)?.command.length ?? 0;
   return progress.bytesInFlight === 0 || progress.bytesInFlight + bytes <= tuning.maxBatchBytes;
 }
 
 function nextRequest(leadership: Leadership, progress: Progress): AppendRequest {
-  const { replica } = leadership.parts;
+  const { replica } = leadership.context;
   const { maxBatchEntries, maxBatchBytes, maxInFlight, groupCommit } = replica.tuning;
-  const isFull = progress.inFlight >= maxInFlight || !hasRoom(leadership, progress);
+  const isFull = progress.inFlight >= maxInFlight || !hasSendRoom(leadership, progress);
   const limit = groupCommit ? maxBatchEntries : 1;
   const entries = isFull
     ? []
@@ -95,139 +97,140 @@
   });
 }
 
-/** Sends one message without waiting for the answers to earlier ones. */
+/** Sends one message; does not wait for the answers to earlier ones. */
 async function send(leadership: Leadership, progress: Progress): Promise<void> {
-  const { replica, peers } = leadership.parts;
+  const { replica, peers } = leadership.context;
   const request = nextRequest(leadership, progress);
   const sent = { request, at: replica.clock.monotonic(), round: progress.round };
   progress.sentAt = sent.at;
   progress.next += BigInt(request.entries.length);
-  progress.toldCommit = request.commitIndex;
+  progress.sentCommitIndex = request.commitIndex;
   const bytes = request.entries.reduce((sum, { command }) => sum + command.length, 0);
   progress.inFlight += 1;
   progress.bytesInFlight += bytes;
-  progress.arrivingUntil = Math.max(progress.arrivingUntil, sent.at) + bytes / replica.tuning.leastBytesPerMs;
-  const waits = request.entries.length > 0 ? APPEND_WAITS : 1;
-  const moreMs = request.entries.length > 0 ? progress.arrivingUntil - sent.at : 0;
+  progress.expectedArrival =
+    Math.max(progress.expectedArrival, sent.at) + bytes / replica.tuning.leastBytesPerMs;
+  const timeoutFactor = request.entries.length > 0 ? APPEND_TIMEOUT_FACTOR : 1;
+  const extraMs = request.entries.length > 0 ? progress.expectedArrival - sent.at : 0;
   const append = (client: AgreementClient, signal: AbortSignal) => client.append(request, { signal });
-  const answer = await peers.call(progress.voter.address, append, { waits, moreMs });
+  const answer = await peers.call(progress.voter.address, append, { timeoutFactor, extraMs });
   progress.inFlight -= 1;
   progress.bytesInFlight -= bytes;
-  if (answer.isOk()) await take(leadership, progress, answer.value, sent);
-  else retryLater(leadership, progress, sent);
+  if (answer.isOk()) await handleAnswer(leadership, progress, answer.value, sent);
+  else pauseAfterFailure(leadership, progress, sent);
   leadership.work.notify();
 }
 
-/** A replica that is down or refuses is tried again at the pace of heartbeats, not in a tight loop. */
-function retryLater(leadership: Leadership, progress: Progress, sent: Sent): void {
-  const { clock, tuning } = leadership.parts.replica;
-  progress.setBack(progress.match, sent.round);
+/** Retries a replica that is down or refuses at the heartbeat interval, not in a tight loop. */
+function pauseAfterFailure(leadership: Leadership, progress: Progress, sent: SentAppend): void {
+  const { clock, tuning } = leadership.context.replica;
+  progress.backtrack(progress.match, sent.round);
   progress.pausedUntil = clock.monotonic() + tuning.heartbeatMs;
 }
 
-async function take(
+async function handleAnswer(
   leadership: Leadership,
   progress: Progress,
   answer: AppendResponse,
-  sent: Sent,
+  sent: SentAppend,
 ): Promise<void> {
-  const { replica } = leadership.parts;
+  const { replica } = leadership.context;
   if (answer.replicaId !== progress.voter.replicaId) {
     /*
-     * The disk under this name is another one now. Counting its answers as the old replica's would count
-     * promises that were lost with the old disk.
+     * A replica with another disk now answers under this name. Counting its answers as those of the old replica would rely on
+     * acknowledgements that were lost with the old disk.
      */
-    if (progress.strangerId !== answer.replicaId) {
+    if (progress.replacementId !== answer.replicaId) {
       const { name } = progress.voter;
       replica.log.event(coordinationEvents.wrongReplica, { name, found: answer.replicaId });
-      progress.strangerId = answer.replicaId;
-      replica.memberNews.notify();
+      progress.replacementId = answer.replicaId;
+      replica.membershipSignal.notify();
     }
-    retryLater(leadership, progress, sent);
+    pauseAfterFailure(leadership, progress, sent);
     return;
   }
   if (answer.term > leadership.term) {
     await leadership.observeTerm(answer.term);
     return;
   }
-  progress.answered(sent.at);
+  progress.recordAnswer(sent.at);
   progress.isCaughtUp = answer.success && answer.matchIndex >= sent.request.commitIndex;
   if (answer.success) {
-    noteMatch(leadership, progress, answer.matchIndex);
+    recordMatch(leadership, progress, answer.matchIndex);
     return;
   }
   /*
-   * A disk that drops synced bytes, or a journal that was cut by hand, leaves a replica without entries that it
-   * acknowledged. Taken for an old answer it would be sent the same message for ever, and stay out of contact.
+   * A disk that drops synced bytes, or a journal that was truncated by hand, leaves a replica without entries that it
+   * acknowledged. If this were treated as an outdated answer, the same message would be sent again and again.
    */
   if (answer.matchIndex < progress.match) {
-    // One that was sent before may have overtaken what it is said to lack.
+    // An answer to a message sent before the match advanced may be outdated.
     if (sent.at < progress.matchedAt) return;
     const { match, voter } = progress;
-    if (!progress.lost(answer.matchIndex, sent.round)) return;
+    if (!progress.recordLostEntries(answer.matchIndex, sent.round)) return;
     const range = { acknowledged: match.toString(), held: answer.matchIndex.toString() };
     replica.log.event(coordinationEvents.lostEntries, { name: voter.name, ...range });
     return;
   }
-  // A heartbeat overtakes long messages: what they bring is not missing, it is under way.
-  const isArriving = progress.bytesInFlight > 0 && replica.clock.monotonic() < progress.arrivingUntil;
+  // A heartbeat can overtake long messages; their entries are still in transit, not missing.
+  const isArriving = progress.bytesInFlight > 0 && replica.clock.monotonic() < progress.expectedArrival;
   if (isArriving && sent.request.entries.length === 0) return;
   const isBehind = answer.matchIndex < sent.request.previousIndex;
-  if (isBehind) progress.setBack(answer.matchIndex, sent.round);
-  else retryLater(leadership, progress, sent);
+  if (isBehind) progress.backtrack(answer.matchIndex, sent.round);
+  else pauseAfterFailure(leadership, progress, sent);
 }
 
-/** Sends the state in pieces to a replica that needs entries which are no longer held. */
-async function install(leadership: Leadership, progress: Progress): Promise<void> {
-  const { replica } = leadership.parts;
-  const parcel = leadership.parts.snapshot();
-  for (let offset = 0; offset === 0 || offset < parcel.data.length; offset += replica.tuning.pieceBytes) {
+/** Sends a snapshot in pieces to a replica that needs entries no longer in the log. */
+async function sendSnapshot(leadership: Leadership, progress: Progress): Promise<void> {
+  const { replica } = leadership.context;
+  const snapshot = leadership.context.snapshot();
+  for (let offset = 0; offset === 0 || offset < snapshot.data.length; offset += replica.tuning.pieceBytes) {
     if (!leadership.isActive || !progress.isMember) return;
-    const isTaken = await sendPiece(leadership, progress, parcel, offset);
-    if (!isTaken) {
+    const isAccepted = await sendPiece(leadership, progress, snapshot, offset);
+    if (!isAccepted) {
       await leadership.work.waitFor(replica.clock, replica.tuning.heartbeatMs);
       return;
     }
   }
-  noteMatch(leadership, progress, parcel.lastIndex);
+  recordMatch(leadership, progress, snapshot.lastIndex);
 }
 
-/** Commits what a quorum has now; a learner that has all that is committed may vote. */
-function noteMatch(leadership: Leadership, progress: Progress, index: bigint): void {
-  const { replica } = leadership.parts;
-  const isMore = progress.matched(index, replica.clock.monotonic());
-  leadership.advance();
+/** Records a match and advances the commit index; signals a learner that has caught up, as it may become a voter. */
+function recordMatch(leadership: Leadership, progress: Progress, index: bigint): void {
+  const { replica } = leadership.context;
+  const hasAdvanced = progress.recordMatch(index, replica.clock.monotonic());
+  leadership.advanceCommitIndex();
   const isLearner = !isVoter(replica.configuration, progress.voter.replicaId);
-  if (isMore && isLearner && progress.match >= replica.commitIndex) replica.memberNews.notify();
+  if (hasAdvanced && isLearner && progress.match >= replica.commitIndex) replica.membershipSignal.notify();
 }
 
 async function sendPiece(
   leadership: Leadership,
   progress: Progress,
-  parcel: Snapshot,
+  snapshot: Snapshot,
   offset: number,
 ): Promise<boolean> {
-  const { replica, peers } = leadership.parts;
-  const data = parcel.data.subarray(offset, offset + replica.tuning.pieceBytes);
+  const { replica, peers } = leadership.context;
+  const data = snapshot.data.subarray(offset, offset + replica.tuning.pieceBytes);
   const request = create(InstallRequestSchema, {
-    lastIndex: parcel.lastIndex,
-    lastTerm: parcel.lastTerm,
-    configuration: parcel.configuration,
+    lastIndex: snapshot.lastIndex,
+    lastTerm: snapshot.lastTerm,
+    configuration: snapshot.configuration,
     clusterId: replica.clusterId,
     leader: replica.name,
     term: leadership.term,
     offset: BigInt(offset),
     data,
-    done: offset + data.length >= parcel.data.length,
+    done: offset + data.length >= snapshot.data.length,
     replicaId: progress.voter.replicaId,
   });
   const sentAt = replica.clock.monotonic();
   progress.sentAt = sentAt;
-  const put = (client: AgreementClient, signal: AbortSignal) => client.install(request, { signal });
-  const answer = await peers.call(progress.voter.address, put, { waits: APPEND_WAITS });
+  const install = (client: AgreementClient, signal: AbortSignal) => client.install(request, { signal });
+  const answer = await peers.call(progress.voter.address, install, { timeoutFactor: APPEND_TIMEOUT_FACTOR });
   if (answer.isErr()) return false;
   if (answer.value.term > leadership.term) await leadership.observeTerm(answer.value.term);
   if (!answer.value.success) return false;
-  progress.answered(sentAt);
+  progress.recordAnswer(sentAt);
   return true;
 }
--- a/packages/coordination/src/agreement/requestCheck.ts
+++ b/packages/coordination/src/agreement/requestCheck.ts
@@ -1,6 +1,6 @@
 /**
- * Checks of requests between replicas. A field that was not sent is empty or zero; a request without it would raise terms, cut
- * logs or add members that nobody can call.
+ * Validation of requests between replicas. Fields that were not sent are empty or zero; an incomplete request could raise
+ * terms, truncate logs or add members that can't be reached.
  */
 import { EntryKind } from '../gen/agreement/agreement_pb.js';
 import type {
@@ -29,10 +29,10 @@
   return kind !== EntryKind.CONFIGURATION || isConfiguration(configuration);
 }
 
-const isInPlace = (entry: Entry, position: number, previousIndex: bigint): boolean =>
+const isAtIndex = (entry: Entry, position: number, previousIndex: bigint): boolean =>
   entry.index === previousIndex + 1n + BigInt(position);
 
-/** Whether a request can be acted on, by the name of its method. */
+/** Whether a request is valid, by method name. */
 export const requestChecks = {
   vote: ({ clusterId, candidate, replicaId, term, lastIndex, lastTerm }: VoteRequest): boolean =>
     clusterId !== '' && candidate !== '' && replicaId !== '' && term > 0n && lastIndex > 0n && lastTerm > 0n,
@@ -42,7 +42,7 @@
     leader !== '' &&
     replicaId !== '' &&
     term > 0n &&
-    entries.every((entry, position) => isEntry(entry) && isInPlace(entry, position, previousIndex)),
+    entries.every((entry, position) => isEntry(entry) && isAtIndex(entry, position, previousIndex)),
 
   install: (request: InstallRequest): boolean =>
     request.clusterId !== '' &&
--- a/packages/coordination/src/agreement/answerTimes.spec.ts
+++ b/packages/coordination/src/agreement/responseTimeouts.spec.ts
@@ -1,26 +1,26 @@
 import { beforeEach, describe, expect, it } from 'vitest';
-import { AnswerTimes } from './answerTimes.js';
+import { ResponseTimeouts } from './responseTimeouts.js';
 
 const BOUNDS = { leastMs: 500, mostMs: 1_500 };
 
-describe('how long an answer is waited for', () => {
-  let times: AnswerTimes;
+describe('the timeout of a call', () => {
+  let times: ResponseTimeouts;
 
   const answer = (ms: number, count: number): void => {
-    for (let at = 0; at < count; at += 1) times.answered('a', ms);
+    for (let at = 0; at < count; at += 1) times.recordResponse('a', ms);
   };
 
   beforeEach(() => {
-    times = new AnswerTimes(BOUNDS);
+    times = new ResponseTimeouts(BOUNDS);
   });
 
-  it('is the least wait where answers are fast, and for each replica by itself', () => {
+  it('is the lower bound for fast responses, separately for each replica', () => {
     answer(20, 20);
     expect(times.waitMs('a')).toBe(500);
     expect(times.waitMs('b')).toBe(1_000);
   });
 
-  it('grows with answers that take longer, up to its bound', () => {
+  it('grows with the response time, up to the upper bound', () => {
     answer(400, 1);
     expect(times.waitMs('a')).toBe(1_200);
     answer(900, 50);
@@ -29,11 +29,11 @@
     expect(times.waitMs('a')).toBe(1_500);
   });
 
-  it('comes down again, and begins anew after a timeout', () => {
+  it('shrinks again, and is reset after a timeout', () => {
     answer(900, 20);
     answer(20, 60);
     expect(times.waitMs('a')).toBe(500);
-    times.unanswered('a');
+    times.recordTimeout('a');
     expect(times.waitMs('a')).toBe(1_000);
   });
 });
--- a/packages/coordination/src/agreement/signal.ts
+++ b/packages/coordination/src/agreement/signal.ts
@@ -1,11 +1,11 @@
-/** Waking tasks that wait for a change. */
+/** Synchronization of asynchronous tasks. */
 import type { Clock } from '@jasmineroute/core';
 
-/** Tasks wait here until somebody says that something changed; then they look for themselves. */
+/** Condition variable: wakes waiting tasks after a change, so that they check their condition again. */
 export class Signal {
   private readonly waiting = new Set<() => void>();
 
-  /** Wakes all that wait now. */
+  /** Wakes all tasks that are waiting. */
   notify(): void {
     const woken = [...this.waiting];
     this.waiting.clear();
@@ -35,7 +35,7 @@
   }
 }
 
-/** Runs actions one after the other, in the order of the calls. */
+/** Runs actions one at a time, in the order of the calls. */
 export class Mutex {
   private last: Promise<unknown> = Promise.resolve();
 
--- a/packages/coordination/src/agreement/stateMachine.ts
+++ b/packages/coordination/src/agreement/stateMachine.ts
@@ -1,16 +1,16 @@
-/** What the log drives. */
+/** Interface of the state machine that the log drives. */
 
 /**
  * A deterministic state machine: the same commands in the same order give the same state and results on every
- * replica. Time, random numbers and other outside input belong into the command.
+ * replica. Time, random numbers and other external input must be part of the command.
  */
 export interface StateMachine {
-  /** Runs a command; the result goes to whoever proposed it. Must not throw. */
+  /** Applies a command and returns the result for its proposer. Must not throw. */
   apply(index: bigint, command: Uint8Array): Uint8Array;
-  /** Answers a command that changes nothing, from the state as it is. Must not throw. Without it there are no queries. */
+  /** Answers a read-only command from the current state. Must not throw. Queries are not supported without it. */
   query?(command: Uint8Array): Uint8Array;
-  /** The whole state. */
+  /** Serializes the complete state. */
   snapshot(): Uint8Array;
-  /** Replaces the whole state. */
+  /** Replaces the complete state by a snapshot. */
   restore(data: Uint8Array): void;
 }
--- a/packages/coordination/src/agreement/status.ts
+++ b/packages/coordination/src/agreement/status.ts
@@ -1,12 +1,12 @@
-/** What is told of replicas. */
+/** Status of replicas. */
 import type { Configuration, JoinResponse, Voter } from '../gen/agreement/agreement_pb.js';
 import type { Report } from './joining.js';
 import type { Role } from './replica.js';
 
-/** A replica's role, or why it has none. */
+/** Role of a replica, or the reason why it has none. */
 export type ReplicaState = Role | 'joining' | 'learner' | 'removed';
 
-/** What a replica knows of itself. */
+/** Status of a replica, from its own point of view. */
 export interface ReplicaStatus {
   readonly name: string;
   readonly replicaId: string;
@@ -16,38 +16,38 @@
   readonly lastApplied: bigint;
   /** Name of the leader, once known. */
   readonly leader?: string;
-  /** In contact with a quorum, and current: what it says can be relied on. */
+  /** Whether the replica is in contact with a quorum and its state is current. */
   readonly vouched: boolean;
   readonly configuration?: Configuration;
 }
 
-/** What one replica told another. */
+/** Status of a replica, as reported to another one. */
 export interface ReplicaReport extends Report {
   readonly name: string;
   readonly address: string;
   readonly replicaId: string;
   readonly voter: boolean;
-  /** False: no answer, or another replica answered; the other fields are empty then. */
+  /** False if there was no answer, or another replica answered; the status fields are empty then. */
   readonly reachable: boolean;
 }
 
-const NOTHING: Report = { state: '', term: 0n, commitIndex: 0n, lastApplied: 0n, vouched: false };
+const EMPTY_REPORT: Report = { state: '', term: 0n, commitIndex: 0n, lastApplied: 0n, vouched: false };
 
-/** A report on a member from its answer. */
+/** Creates the report on a member from its answer. */
 export function reportOf(
   member: Voter,
   isVoter: boolean,
   answer: (Report & Pick<JoinResponse, 'replica'>) | undefined,
 ): ReplicaReport {
-  const told = answer?.replica?.replicaId === member.replicaId ? answer : undefined;
-  const { state, term, commitIndex, lastApplied, vouched } = told ?? NOTHING;
+  const report = answer?.replica?.replicaId === member.replicaId ? answer : undefined;
+  const { state, term, commitIndex, lastApplied, vouched } = report ?? EMPTY_REPORT;
   const { name, address, replicaId } = member;
   return {
     name,
     address,
     replicaId,
     voter: isVoter,
-    reachable: told !== undefined,
+    reachable: report !== undefined,
     state,
     term,
     commitIndex,
--- a/packages/coordination/src/agreement/withoutDisk.ts
+++ b/packages/coordination/src/agreement/withoutDisk.ts
@@ -1,27 +1,27 @@
-/** What a process among replicas answers that has no disk. */
+/** Service between replicas for a process without a disk. */
 import { create } from '@bufbuild/protobuf';
 import { Code, ConnectError } from '@connectrpc/connect';
 import type { ConnectRouter } from '@connectrpc/connect';
 import { Agreement, JoinResponseSchema } from '../gen/agreement/agreement_pb.js';
 import { voter } from './configuration.js';
 
-/** State that such a process reports of itself. */
+/** State that a process without a disk reports. */
 export const WITHOUT_DISK = 'without a disk';
 
-const refuse = (): never => {
+const rejectCall = (): never => {
   throw new ConnectError('this process has no disk and keeps no log', Code.Unavailable);
 };
 
 /**
- * Adds the service between replicas for a process without a disk. It votes for nobody and holds nothing, and says so: a
- * cluster is founded only when all its initial replicas have answered, and would wait for this one for ever.
+ * Adds the service between replicas for a process without a disk. It grants no votes and stores no log, but answers join
+ * requests: a cluster is founded only when all its initial replicas have answered, and would otherwise wait for it for ever.
  */
 export function routesWithoutDisk(router: ConnectRouter, name: string, address: () => string): void {
   router.service(Agreement, {
     join: () => create(JoinResponseSchema, { replica: voter(name, address(), ''), state: WITHOUT_DISK }),
-    vote: refuse,
-    append: refuse,
-    install: refuse,
-    propose: refuse,
+    vote: rejectCall,
+    append: rejectCall,
+    install: rejectCall,
+    propose: rejectCall,
   });
 }
--- a/scripts/guards/list.mjs
+++ b/scripts/guards/list.mjs
@@ -66,7 +66,7 @@
   {
     name: 'an isolated leader steps down and stops vouching',
     file: 'packages/coordination/src/agreement/leadership.ts',
-    find: 'if (age > quorumWindowMs && !this.hasQuorum(quorumWindowMs + lateMs)) {',
+    find: 'if (age > quorumWindowMs && !this.hasQuorum(quorumWindowMs + stallMs)) {',
     put: 'if (age < 0) {',
     also: {
       file: 'packages/coordination/src/agreement/contact.ts',
