--- a/packages/coordination/src/agreement/agreementModel.spec.ts
+++ b/packages/coordination/src/agreement/agreementModel.spec.ts
@@ -1,11 +1,11 @@
-/** Random histories of losses, delays, crashes, a lost disk and changes, against what must hold in all of them. */
+/** Checks safety and liveness in random histories of message loss, delays, crashes, a lost disk and membership changes. */
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import { MemoryCluster } from '../testing/index.js';
 import type { Node } from '../testing/index.js';
 
 const RUNS = Number(process.env.MODEL_RUNS ?? 40);
-const LIMIT_MS = 900_000;
+const TIMEOUT_MS = 900_000;
 
 type NodeAction = 'propose' | 'query' | 'crash' | 'start' | 'isolate' | 'silence' | 'enlist' | 'wipe';
 
@@ -71,15 +71,15 @@
   }),
 };
 
-/** Runs actions on a cluster. */
+/** Runs the actions of a history on a cluster. */
 class History {
-  /** One disk is lost at most: with two of three gone, accepted commands can be gone too. */
+  /** At most one disk is lost: losing two of three disks can lose committed commands. */
   private isDiskLost = false;
   private count = 0;
-  private wanted: readonly Node[];
+  private desired: readonly Node[];
 
   constructor(private readonly cluster: MemoryCluster) {
-    this.wanted = cluster.nodes.slice(0, 3);
+    this.desired = cluster.nodes.slice(0, 3);
   }
 
   async run(step: Action): Promise<void> {
@@ -98,7 +98,7 @@
         network.cut(this.at(step.node).address.address, this.at(step.other).address.address);
         return;
       case 'change':
-        this.wanted = step.nodes.map((node) => this.at(node));
+        this.desired = step.nodes.map((node) => this.at(node));
         for (const { replica } of nodes) void replica?.changeReplicas(this.addresses());
         return;
       default:
@@ -106,7 +106,7 @@
     }
   }
 
-  /** Repairs everything, and proposes once more. */
+  /** Repairs everything, then checks that a command is committed and a query is answered. */
   async settle(): Promise<void> {
     const { cluster } = this;
     cluster.network.heal();
@@ -114,16 +114,16 @@
     await cluster.startAll();
     for (const { replica } of cluster.nodes) void replica?.changeReplicas(this.addresses());
     if (!(await cluster.until(() => this.isSettled(), 60_000))) cluster.violations.push('not settled');
-    // Connections that went silent are found and replaced meanwhile.
+    // Connections that stopped responding are detected and replaced in this time.
     await cluster.clock.advance(5_000);
-    const [node] = this.wanted;
+    const [node] = this.desired;
     const attempt = node && cluster.propose(node, 'last');
     await cluster.clock.advance(4_000);
     if (attempt?.outcome !== 'done') cluster.violations.push('no commit after the repair');
     const query = node && cluster.query(node);
     await cluster.clock.advance(4_000);
     if (query?.outcome !== 'answered') cluster.violations.push('no answer after the repair');
-    cluster.checkEnd(this.wanted);
+    cluster.checkEnd(this.desired);
   }
 
   private runOn(kind: NodeAction, node: Node): Promise<void> | void {
@@ -167,14 +167,14 @@
   }
 
   private addresses() {
-    return this.wanted.map(({ address }) => address);
+    return this.desired.map(({ address }) => address);
   }
 
   private isSettled(): boolean {
     const { configuration } = this.cluster.leader()?.replica?.status() ?? {};
     const ids = configuration?.voters.map(({ replicaId }) => replicaId) ?? [];
-    const isMet = this.wanted.every(({ replica }) => ids.includes(replica?.status().replicaId ?? ''));
-    return isMet && ids.length === this.wanted.length && configuration?.learners.length === 0;
+    const areAllVoters = this.desired.every(({ replica }) => ids.includes(replica?.status().replicaId ?? ''));
+    return areAllVoters && ids.length === this.desired.length && configuration?.learners.length === 0;
   }
 }
 
@@ -194,17 +194,17 @@
   fc.array(fc.oneof(...actions), { minLength: 20, maxLength: 80 });
 
 test(
-  'no history loses, reverts or doubles a committed entry, answers without one, or has two leaders in a term',
+  'no history loses, reverts or repeats a committed entry, acknowledges an uncommitted one, or has two leaders in a term',
   async () => {
     const steps = histories(...actionsOn(3), wipes);
     const property = fc.asyncProperty(fc.integer(), steps, (seed, actions) => check(seed, actions, []));
     await fc.assert(property, { numRuns: RUNS });
   },
-  LIMIT_MS,
+  TIMEOUT_MS,
 );
 
 test(
-  'nor does one in which replicas come and go',
+  'nor does a history with membership changes',
   async () => {
     const steps = histories(...actionsOn(5), changes);
     const property = fc.asyncProperty(fc.integer(), steps, (seed, actions) =>
@@ -212,11 +212,11 @@
     );
     await fc.assert(property, { numRuns: RUNS });
   },
-  LIMIT_MS,
+  TIMEOUT_MS,
 );
 
 test(
-  'nor does one in which voters are lost and others come in their place',
+  'nor does a history in which voters are lost and replaced',
   async () => {
     const steps = histories(...actionsOn(5), enlists, longWaits);
     const property = fc.asyncProperty(fc.integer(), steps, (seed, actions) =>
@@ -224,5 +224,5 @@
     );
     await fc.assert(property, { numRuns: RUNS });
   },
-  LIMIT_MS,
+  TIMEOUT_MS,
 );
--- a/packages/coordination/src/agreement/applier.spec.ts
+++ b/packages/coordination/src/agreement/applier.spec.ts
@@ -6,13 +6,13 @@
 
 const COMMANDS = 300;
 
-/** Time that the state machine takes for a command, milliseconds. */
+/** Time that the state machine takes to apply a command, milliseconds. */
 const COMMAND_MS = 1;
 
-/** Time for which the event loop may be held up, milliseconds: half of the time between heartbeats. */
+/** Longest time for which the event loop may be blocked, milliseconds: half the heartbeat interval. */
 const TURN_MS = 50;
 
-/** A clock that also moves on with the work that is done. */
+/** A manual clock that also advances by the simulated work. */
 class WorkingClock extends ManualClock {
   private workedMs = 0;
 
@@ -27,8 +27,9 @@
 
 const turn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
-// Guards against a leader that is lost after a restart of all, as each replica applies the whole log in one turn.
-it('a replayed log leaves turns of the event loop to others, and contact is told of behind it', async () => {
+// Guards against a leader that is lost after a restart of all replicas, because each replica replays the whole log in one
+// turn.
+it('replaying a log yields to the event loop, and contact is reported only afterwards', async () => {
   const clock = new WorkingClock();
   const disk = MemoryDisk.empty();
   const random = seeded(1);
@@ -78,17 +79,17 @@
     most = Math.max(most, applied - before);
   }
   expect(appliedAtContact).toBe(COMMANDS);
-  // A step of this test spans two turns at most.
+  // One step of this test spans at most two turns.
   expect(most * COMMAND_MS).toBeLessThanOrEqual(2 * TURN_MS);
   await second.close();
 });
 
 const ENTRIES = 2_000;
 
-/** Entries that may be applied in one turn of the event loop. */
-const MOST_IN_TURN = 256;
+/** Limit on the entries applied in one turn of the event loop. */
+const MAX_IN_TURN = 256;
 
-// Guards against a replica that reads no message and sends no heartbeat while it applies a whole log after its election.
+// Guards against a new leader that reads no messages and sends no heartbeats while it applies a whole log.
 it('a long log is applied over several turns of the event loop', async () => {
   const cluster = new MemoryCluster(3, ['a']);
   await cluster.startAll();
@@ -101,32 +102,33 @@
   let applied = node.recorder.commands.length;
   let mostInTurn = 0;
   let isOver = false;
-  const look = (): void => {
+  const sample = (): void => {
     const now = node.recorder.commands.length;
     mostInTurn = Math.max(mostInTurn, now - applied);
     applied = now;
-    if (!isOver) setImmediate(look);
+    if (!isOver) setImmediate(sample);
   };
-  look();
+  sample();
   expect(await cluster.until(() => node.recorder.commands.length === ENTRIES, 10_000)).toBe(true);
   isOver = true;
   cluster.crash(node);
   expect(cluster.violations).toEqual([]);
-  expect(mostInTurn).toBeLessThanOrEqual(MOST_IN_TURN);
+  expect(mostInTurn).toBeLessThanOrEqual(MAX_IN_TURN);
 });
 
 const MB = 1024 * 1024;
 
-/** Most that the folder of a replica may take, MB: what a snapshot is taken after, what is kept behind it, and some more. */
+/** Size limit of a replica folder, MB: log up to the next snapshot, retained entries, and a margin. */
 const FOLDER_MB = 32;
 
-// Guards against a disk and a memory that are filled by long entries, of which as many are kept as of short ones.
-it('long entries behind a snapshot are kept for their bytes, not for their number', async () => {
+// Guards against disk and memory filled up by long entries, when retention only limits their number.
+it('retention of entries covered by a snapshot is limited by bytes as well as by number', async () => {
   const cluster = new MemoryCluster(1, ['a', 'b', 'c']);
   await cluster.startAll();
   expect(await cluster.until(() => cluster.leader() !== undefined, 10_000)).toBe(true);
   const leader = cluster.leader() ?? cluster.find('a');
-  // The state of these replicas holds all commands, as snapshots of it do; those of a configuration hold one.
+  // The state of the test replicas holds all commands, so its snapshots would grow; a production snapshot holds one
+  // configuration.
   leader.recorder.snapshot = () => new Uint8Array();
   for (let count = 0; count < 60; count += 1) {
     cluster.propose(leader, `${count}`.padEnd(MB, '.'));
--- a/packages/coordination/src/agreement/configuration.ts
+++ b/packages/coordination/src/agreement/configuration.ts
@@ -54,8 +54,8 @@
 
 type Step = (view: MembershipView) => Configuration | undefined;
 
-const without = (members: readonly Voter[], gone: Voter): Voter[] =>
-  members.filter((member) => member.replicaId !== gone.replicaId);
+const without = (members: readonly Voter[], removed: Voter): Voter[] =>
+  members.filter((member) => member.replicaId !== removed.replicaId);
 
 const withVoters = (current: Configuration, voters: readonly Voter[]): Configuration =>
   configurationOf(current.clusterId, voters, current.learners);
@@ -176,8 +176,8 @@
   const names = new Set(current.voters.map(({ name }) => name));
   if (!desired.every(({ name }) => names.has(name))) return undefined;
   const undesired = current.voters.filter((old) => !desired.some(({ name }) => name === old.name));
-  const gone = undesired.find((old) => old.replicaId !== self) ?? undesired[0];
-  return gone && withVoters(current, without(current.voters, gone));
+  const removed = undesired.find((old) => old.replicaId !== self) ?? undesired[0];
+  return removed && withVoters(current, without(current.voters, removed));
 };
 
 /** Steps in order of preference, which decides between equally good ones: promotions come before final removals. */
@@ -215,9 +215,9 @@
  * committed nor undone. A step that needs a larger quorum without tolerating more losses waits until all voters answer;
  * otherwise one slow voter could cost the leader its quorum.
  */
-function isSafeStep(next: FaultMargin, now: FaultMargin, voters: number): boolean {
+function isSafeStep(next: FaultMargin, current: FaultMargin, voters: number): boolean {
   if (next.spare < 0) return false;
-  return next.spare > now.spare || next.needed <= now.needed || now.alive === voters;
+  return next.spare > current.spare || next.needed <= current.needed || current.alive === voters;
 }
 
 const isBetter = (a: FaultMargin, b: FaultMargin): boolean =>
@@ -230,13 +230,13 @@
  */
 export function nextStep(view: MembershipView): Configuration | undefined {
   const { current } = view;
-  const now = marginOf(current, view);
+  const currentMargin = marginOf(current, view);
   let best: { readonly next: Configuration; readonly margin: FaultMargin } | undefined;
   for (const step of steps) {
     const next = step(view);
     if (next === undefined) continue;
     const margin = marginOf(next, view);
-    if (!isSafeStep(margin, now, current.voters.length)) continue;
+    if (!isSafeStep(margin, currentMargin, current.voters.length)) continue;
     if (best === undefined || isBetter(margin, best.margin)) best = { next, margin };
   }
   return best?.next;
--- a/packages/coordination/src/agreement/failedTask.spec.ts
+++ b/packages/coordination/src/agreement/failedTask.spec.ts
@@ -7,7 +7,7 @@
   throw new TypeError('Invalid URL');
 };
 
-describe('a replica of which a task fails', () => {
+describe('a failed task of a replica', () => {
   async function start(apply: () => Uint8Array, onFailure: (error: unknown) => void): Promise<ReplicatedLog> {
     const opened = await ReplicatedLog.open({
       name: 'a',
@@ -26,8 +26,9 @@
     return replica;
   }
 
-  // A stopped replica in a process that lives on is not started again, and its vote is missing for good.
-  it('says so', async () => {
+  // Guards against a stopped replica in a process that keeps running: it is not restarted, and its vote is missing for
+  // good.
+  it('is reported', async () => {
     const failures: unknown[] = [];
     const bug = new Error('a bug');
     const fail = (): never => {
@@ -41,8 +42,8 @@
     await replica.close();
   });
 
-  // A member without a usable address stops the leader of the cluster that it asks to be taken into.
-  it('goes on when an address can not be called', async () => {
+  // Guards against a new member with an invalid address that stops the leader of the cluster that it asks to join.
+  it('is not caused by an invalid address', async () => {
     const failures: unknown[] = [];
     const replica = await start(
       () => new Uint8Array(),
--- a/packages/coordination/src/agreement/failures.spec.ts
+++ b/packages/coordination/src/agreement/failures.spec.ts
@@ -1,4 +1,4 @@
-/** Failures of replicas, disks and connections, one by one. */
+/** Single failures of replicas, disks and connections. */
 import type { Log } from '@jasmineroute/core';
 import { afterEach, expect, test } from 'vitest';
 import { coordinationEvents } from '../events.js';
@@ -55,10 +55,9 @@
   }
 });
 
-test('an isolated leader steps down, stops vouching and reverts nothing on its return', async () => {
-  // Symptom: a cut-off instance goes on telling old state as current, or comes back and undoes newer commands.
-  // Sequence: leader cut off for a minute, commands accepted by the others, links repaired.
-  // Cause: nothing closes a connection across a partition; only the absence of a quorum's answers shows it.
+// Guards against an isolated leader that reports outdated state as current, or returns and reverts newer commands. A
+// partition closes no connections, so only missing answers of a quorum reveal it.
+test('an isolated leader steps down, stops vouching and reverts nothing when it returns', async () => {
   const cluster = await started(['a', 'b', 'c']);
   const old = leaderOf(cluster);
   expect(await accepted(cluster, old, 'before')).toBe(true);
@@ -80,10 +79,9 @@
   cluster.checkEnd();
 });
 
-test('an isolated follower stops vouching within two seconds and says truly that a command did not run', async () => {
-  // Symptom: watchers stay with an instance that hears of no change any more.
-  // Sequence: follower cut off; a command is given to it.
-  // Cause: without an age limit on the leader's last message the follower believes itself current.
+// Guards against watchers that stay with a follower which receives no changes. Without an age limit on the last message
+// of the leader, an isolated follower considers itself current.
+test('an isolated follower stops vouching within two seconds and vouches again once it is reconnected', async () => {
   const cluster = await started(['a', 'b', 'c']);
   await cluster.clock.advance(1_000);
   const [follower] = followersOf(cluster);
@@ -97,10 +95,9 @@
   expect(follower.replica?.status().vouched).toBe(true);
 });
 
+// Guards against outdated state reported as current just after a long isolation: the first heartbeat arrives before the
+// missed entries.
 test('a follower that missed changes vouches only after it has applied them', async () => {
-  // Symptom: just after a long isolation an instance answers with old state as if it were current.
-  // Sequence: follower down while commands are accepted, restarted, the first heartbeat arrives.
-  // Cause: contact alone says nothing of what is still to come.
   const cluster = await started(['a', 'b', 'c']);
   const [follower] = followersOf(cluster);
   if (follower === undefined) throw new Error('no follower');
@@ -116,11 +113,9 @@
   expect(vouchedWith[0]).toBe(30);
 });
 
-test('an empty disk under an old name has no vote until it has learnt everything', async () => {
-  // Symptom: accepted commands disappear.
-  // Sequence: one of three has accepted commands only with a second; that one loses its disk; the third, which
-  // never saw the commands, returns while the first is down.
-  // Cause: the empty disk would lend the old vote to a log that lacks what the old disk had promised to keep.
+// Guards against the loss of committed commands when a quorum consists of an empty disk and a replica that missed them.
+// The commands were on two of three replicas; one of these lost its disk, the other is down.
+test('an empty disk under an old name has no vote until it has caught up', async () => {
   const cluster = await started(['a', 'b', 'c']);
   const leader = leaderOf(cluster);
   const [behind, wiped] = followersOf(cluster);
@@ -141,10 +136,9 @@
   cluster.checkEnd();
 });
 
-test('a second loss right after a replacement loses nothing', async () => {
-  // Symptom: commands accepted long ago are gone after the second failure.
-  // Sequence: one disk lost, the replica replaced, at once a second disk lost.
-  // Cause: a replacement that votes before it has everything counts towards quorums without the data.
+// Guards against a replacement that votes before it has all entries: it would count towards a quorum without the data,
+// and the loss of a second disk would lose committed commands.
+test('a second lost disk right after a replacement loses no commands', async () => {
   const cluster = await started(['a', 'b', 'c'], { snapshotEntries: 10, retainedEntries: 2 });
   const [third, other] = followersOf(cluster);
   if (third === undefined || other === undefined) throw new Error('no followers');
@@ -163,10 +157,9 @@
   cluster.checkEnd();
 });
 
+// Guards against a second cluster, or a new one that lacks the commands of an older one. A majority of empty replicas
+// cannot know what the unreachable third one holds.
 test('a cluster is founded only with all its replicas', async () => {
-  // Symptom: two clusters, or one that forgot an older one's commands.
-  // Sequence: two of three start with empty disks; the third, with data or not, is out of reach.
-  // Cause: a majority of empty replicas can't know what the absent one holds.
   const cluster = new MemoryCluster(3, ['a', 'b', 'c']);
   clusters.push(cluster);
   const [a, b, c] = [cluster.find('a'), cluster.find('b'), cluster.find('c')];
@@ -178,10 +171,9 @@
   expect(await cluster.until(() => cluster.leader() !== undefined, 10_000)).toBe(true);
 });
 
+// Guards against a founder that waits for ever for an initial replica without a disk, so that nothing is served from the
+// first start on.
 test('a cluster is founded without those of its initial replicas that have no disk', async () => {
-  // Symptom: nothing is served from the first start on.
-  // Sequence: one of the three addresses in the settings is that of a process without a disk.
-  // Cause: it has no log to be empty, so the founder waited for it for ever.
   const cluster = new MemoryCluster(3, ['a', 'b', 'c']);
   clusters.push(cluster);
   cluster.network.serve('a', (router) => {
@@ -195,10 +187,9 @@
   expect(leaderOf(cluster).replica?.members().length).toBe(2);
 });
 
-test('a founder that crashes goes on with the same cluster', async () => {
-  // Symptom: replicas wait for ever for a cluster that its founder forgot.
-  // Sequence: power cut at the founder just as the first of the others has heard of the cluster.
-  // Cause: the cluster was told of before the founder's first entry was synced.
+// Guards against replicas that wait for ever for a cluster that its founder lost. A founder that announces the cluster
+// before its first entry is synced can forget it in a power cut.
+test('a founder that crashes continues with the same cluster', async () => {
   const joined: string[] = [];
   const log: Log = {
     event: ({ id }) => {
@@ -218,10 +209,9 @@
   expect(await accepted(cluster, cluster.find('c'), 'first')).toBe(true);
 });
 
-test('connections that go silent for good are replaced', async () => {
-  // Symptom: no command is accepted although all replicas run and can reach each other.
-  // Sequence: something between the replicas loses track of all open connections; new ones work.
-  // Cause: nothing closes such a connection, so whoever waits on it waits for ever.
+// Guards against calls that wait for ever, so that no command is accepted, on connections whose state was lost by a device
+// between the replicas. Such connections are never closed, while new ones work.
+test('connections that stop responding are replaced', async () => {
   const cluster = await started(['a', 'b', 'c']);
   const leader = leaderOf(cluster);
   for (const other of followersOf(cluster)) cluster.network.silence(addressOf(leader), addressOf(other));
@@ -231,10 +221,9 @@
   if (follower !== undefined) expect(await accepted(cluster, follower, 'at a follower')).toBe(true);
 });
 
-test('a command whose answer was lost is not told as not run, and runs once', async () => {
-  // Symptom: a command runs twice.
-  // Sequence: a follower forwards it; the leader commits it; the answer gets lost on the way back.
-  // Cause: a call that failed taken for one that was never sent, and tried again.
+// Guards against a command that runs twice: a forwarded command is committed but its answer is lost, and the failed call
+// is retried as if it had never been sent.
+test('a command whose answer was lost is not reported as not run, and runs once', async () => {
   const cluster = await started(['a', 'b', 'c']);
   await cluster.clock.advance(500);
   const leader = leaderOf(cluster);
@@ -250,10 +239,9 @@
   cluster.checkEnd();
 });
 
-test('a replica that was down for long gets a snapshot in pieces, then the tail', async () => {
-  // Symptom: a replica stays behind for ever, or has a gap between snapshot and tail.
-  // Sequence: hundreds of commands while it is down; the entries that it needs are gone from the others' logs.
-  // Cause: bounded logs keep only the newest entries.
+// Guards against a lagging replica that never catches up, or has a gap between snapshot and log. The other replicas no
+// longer hold the entries that it needs, as they keep only the latest ones.
+test('a replica that was down for long receives a snapshot in pieces, then the later entries', async () => {
   const cluster = await started(['a', 'b', 'c'], {
     snapshotEntries: 20,
     retainedEntries: 5,
@@ -274,18 +262,17 @@
   expect(behind.recorder.commands).toHaveLength(320);
 });
 
-test('replicas change one by one to the wanted ones, the leader included', async () => {
-  // Symptom: two halves of old and new replicas accept different commands.
-  // Sequence: all three replicas are replaced by others, under load.
-  // Cause: several changes at once, or before an entry of the leader's term, allow quorums without a common replica.
+// Guards against disjoint quorums of old and new replicas. They are possible when several changes are made at once, or a
+// change is made before an entry of the leader's term is committed.
+test('replicas are replaced one by one, including the leader', async () => {
   const cluster = await started(['a', 'b', 'c']);
   const fresh = ['d', 'e', 'f'].map((name) => cluster.add(name));
   await cluster.startAll();
-  const wanted = fresh.map(({ address }) => address);
+  const desired = fresh.map(({ address }) => address);
   const sizes = new Set<number>();
   for (let round = 0; round < 200; round += 1) {
     const leader = cluster.leader();
-    void leader?.replica?.changeReplicas(wanted);
+    void leader?.replica?.changeReplicas(desired);
     cluster.propose(cluster.nodes[round % 6] ?? leaderOf(cluster), `c${round}`);
     await cluster.clock.advance(100);
     if (leader !== undefined) sizes.add(voterIds(leader).length);
@@ -301,10 +288,9 @@
   cluster.checkEnd();
 });
 
-test('a leader whose disk is full refuses truly and another replica takes over', async () => {
-  // Symptom: a command is refused as not run and runs all the same, or nothing is accepted any more.
-  // Sequence: the leader's disk fills up in the middle of a write.
-  // Cause: the part that was written stays in the file, or the leader goes on leading.
+// Guards against a full disk on the leader, in the middle of a write: a command reported as not run that runs later
+// because part of it stays in the file, or a leader that keeps leading and accepts nothing.
+test('a leader with a full disk reports refused commands correctly and another replica takes over', async () => {
   const cluster = await started(['a', 'b', 'c']);
   const full = leaderOf(cluster);
   full.disk.writeError = 'ENOSPC';
@@ -322,10 +308,9 @@
   cluster.checkEnd();
 });
 
-test('a replica whose sync failed promises nothing more', async () => {
-  // Symptom: an accepted command is gone after a power cut.
-  // Sequence: a follower's sync fails, later syncs succeed, power cut.
-  // Cause: after a failed sync the system may forget the pages, and the next sync reports success without them.
+// Guards against a committed command that is lost in a power cut. After a failed sync the operating system may drop the
+// pages, and the next sync succeeds without them.
+test('a replica whose sync failed acknowledges nothing more', async () => {
   const cluster = await started(['a', 'b', 'c']);
   const [bad, down] = followersOf(cluster);
   if (bad === undefined || down === undefined) throw new Error('no followers');
@@ -338,22 +323,21 @@
   expect(attempt.outcome).toBe('may-have-run');
 });
 
+// Guards against an outage of 0.9 s after all replicas were killed at once, because each waited the full election timeout
+// although no leader could exist.
 test('replicas that were all killed at once have a leader again within half a second', async () => {
-  // Symptom: after a loss of power all entries refuse what comes for 0.9 s, though everything is up.
-  // Sequence: all replicas are killed and start again; none of them hears a leader.
-  // Cause: each waited as long as for a leader that it had heard, in case of a short disruption.
   const cluster = await started(['a', 'b', 'c']);
   await accepted(cluster, leaderOf(cluster), 'x');
   for (let round = 0; round < 5; round += 1) {
     for (const node of cluster.nodes) cluster.crash(node);
-    // What a killed process had sent is gone with its connections; here it would reach the next life.
+    // Messages of a killed process are lost with its connections; in this network they would reach the restarted replicas.
     await cluster.clock.advance(cluster.network.maxDelayMs);
     await cluster.startAll();
     expect(await cluster.until(() => cluster.leader() !== undefined, 500)).toBe(true);
   }
 });
 
-test('a replica that starts beside a leader leaves it alone', async () => {
+test('a replica that starts while there is a leader does not depose it', async () => {
   const cluster = await started(['a', 'b', 'c']);
   const leader = leaderOf(cluster);
   const [follower] = followersOf(cluster);
--- a/packages/coordination/src/agreement/joining.ts
+++ b/packages/coordination/src/agreement/joining.ts
@@ -78,9 +78,9 @@
   }
 
   private async joinOrFound(answers: readonly (JoinResponse | undefined)[]): Promise<void> {
-    const known = answers.find((answer) => answer?.configuration !== undefined)?.configuration;
-    if (known !== undefined) {
-      await this.acceptConfiguration(known);
+    const configuration = answers.find((answer) => answer?.configuration !== undefined)?.configuration;
+    if (configuration !== undefined) {
+      await this.acceptConfiguration(configuration);
       return;
     }
     const withDisk = answers.filter((answer) => answer?.state !== WITHOUT_DISK);
--- a/packages/coordination/src/agreement/leadership.ts
+++ b/packages/coordination/src/agreement/leadership.ts
@@ -93,7 +93,10 @@
     this.proposalArrived.notify();
   }
 
-  /** Whether too many commands are uncommitted. Without a limit, retried commands could keep the quorum from ever catching up. */
+  /**
+   * Whether too many commands are uncommitted. Without a limit, retried commands could keep the quorum from ever catching
+   * up.
+   */
   private isFull(): boolean {
     const { tuning, entries, commitIndex } = this.context.replica;
     if (this.pending.length >= tuning.maxPending) return true;
--- a/packages/coordination/src/agreement/longMessages.spec.ts
+++ b/packages/coordination/src/agreement/longMessages.spec.ts
@@ -1,11 +1,11 @@
-/** Entries of hundreds of kilobytes over connections that take seconds for them. */
+/** Entries of hundreds of kilobytes on connections that need seconds to transfer them. */
 import { beforeEach, describe, expect, it } from 'vitest';
 import { MemoryCluster } from '../testing/index.js';
 import type { Message, Node } from '../testing/index.js';
 
 const COMMAND_BYTES = 300_000;
 
-/** Bytes a millisecond: a command takes 0.5 s when it is alone. */
+/** Transfer rate in bytes per millisecond: a single command takes 0.5 s. */
 const BYTES_PER_MS = 600;
 
 describe('long messages on a slow connection', () => {
@@ -28,8 +28,8 @@
   const haveAll = (count: number): boolean =>
     cluster.nodes.every(({ recorder }) => recorder.commands.length === count);
 
-  // Guards against heartbeats that overtake a long message, find it missing, and have it sent again.
-  it('arrive once', async () => {
+  // Guards against heartbeats that overtake a long message, so that its entries look missing and are sent again.
+  it('are sent once', async () => {
     let arrived = 0;
     cluster.network.isHeld = ({ method, isAnswer, content }: Message) => {
       const { entries = [] } = content as { entries?: unknown[] };
@@ -43,8 +43,8 @@
     expect(cluster.violations).toEqual([]);
   });
 
-  // Guards against messages that share a connection and are all given up before any of them has come whole, again and again.
-  it('arrive one after the other, and the leader stays', async () => {
+  // Guards against messages that share a connection and repeatedly all time out before any of them is complete.
+  it('arrive one after the other without a change of leader', async () => {
     const term = leader.replica?.status().term;
     const COMMANDS = 12;
     for (let count = 0; count < COMMANDS; count += 1) cluster.propose(leader, command(count));
@@ -54,16 +54,16 @@
     expect(cluster.violations).toEqual([]);
   });
 
-  // Guards against a message that is given up in the same time however long it is, and so never arrives.
-  it('arrive when a single one takes long', async () => {
+  // Guards against a timeout that ignores the length of a message, so that a long one never arrives.
+  it('arrive even if a single one takes long', async () => {
     const bytes = 2_000_000;
     cluster.propose(leader, command(1, bytes));
     expect(await cluster.until(() => haveAll(1), (1.5 * bytes) / BYTES_PER_MS)).toBe(true);
     expect(cluster.violations).toEqual([]);
   });
 
-  // Guards against a log that grows faster than a quorum can take it, by commands that are sent again and again.
-  it('leave room for commands that come later, however often they are sent again', async () => {
+  // Guards against a log that grows faster than a quorum can replicate it, because commands are retried repeatedly.
+  it('leave room for later commands, however often they are retried', async () => {
     const bytes = 1_500_000;
     const send = (): void => {
       cluster.propose(leader, command(1, bytes), 900);
--- a/packages/coordination/src/agreement/lostLeader.spec.ts
+++ b/packages/coordination/src/agreement/lostLeader.spec.ts
@@ -1,4 +1,4 @@
-/** Leaders that have just been elected after a restart of all replicas. */
+/** Leaders newly elected after a restart of all replicas. */
 import { isMessage } from '@bufbuild/protobuf';
 import type { Log } from '@jasmineroute/core';
 import { describe, expect, test } from 'vitest';
@@ -13,152 +13,154 @@
 
 const SEEDS = Array.from({ length: 20 }, (_, at) => at + 1);
 
-/** Longest time without a confirmed leader, milliseconds: a follower bears as long a silence before it stands. */
-const { electionMinMs: BOUND_MS } = tuning.parse({});
+/** Longest acceptable time without a confirmed leader, milliseconds: the shortest election timeout of a follower. */
+const { electionMinMs: MAX_GAP_MS } = tuning.parse({});
 
-/** How long no replica runs, milliseconds: longer than a message is on its way. */
-const DARK_MS = 1_000;
+/** Time during which no replica runs, milliseconds: longer than the delay of any message. */
+const DOWNTIME_MS = 1_000;
 
-/** Longest wait for a leader, milliseconds. */
-const PATIENCE_MS = 10_000;
+/** Timeout when waiting for a leader, milliseconds. */
+const LEADER_TIMEOUT_MS = 10_000;
 
-/** Time for which control is watched, milliseconds. */
+/** Time for which the cluster is observed, milliseconds. */
 const WATCH_MS = 8_000;
 
-/** Step of the watch, milliseconds. */
-const LOOK_MS = 10;
+/** Interval between observations, milliseconds. */
+const POLL_MS = 10;
 
-/** Longest time in which a replica has acted on an answer, its sync included, milliseconds. */
-const ACT_MS = 50;
+/** Longest time that a replica takes to act on an answer, including its sync, milliseconds. */
+const REACTION_MS = 50;
 
 let cluster: MemoryCluster;
-/** Why leaders stepped down since all replicas were ended. */
-let reasons: string[];
+/** Reasons for which leaders stepped down since all replicas were crashed. */
+let stepDownReasons: string[];
 
 const log: Log = {
   event: ({ id }, fields) => {
-    if (id === coordinationEvents.steppedDown.id) reasons.push(String(fields?.reason));
+    if (id === coordinationEvents.steppedDown.id) stepDownReasons.push(String(fields?.reason));
   },
   with: () => log,
 };
 
-const isLed = (): boolean => cluster.leader() !== undefined;
+const hasLeader = (): boolean => cluster.leader() !== undefined;
 
 const statusOf = ({ replica }: Node) => replica?.status();
 
 const isElected = (): boolean => cluster.nodes.some((node) => statusOf(node)?.state === 'leader');
 
-/** Founds a cluster. */
-async function found(seed: number): Promise<void> {
-  reasons = [];
+/** Starts a new cluster and waits for a leader. */
+async function startCluster(seed: number): Promise<void> {
+  stepDownReasons = [];
   cluster = new MemoryCluster(seed, NAMES, {}, log);
   await cluster.startAll();
-  expect(await cluster.until(isLed, PATIENCE_MS)).toBe(true);
+  expect(await cluster.until(hasLeader, LEADER_TIMEOUT_MS)).toBe(true);
 }
 
-/** Ends all replicas at once. */
-async function endAll(): Promise<void> {
+/** Crashes all replicas at once. */
+async function crashAll(): Promise<void> {
   for (const node of cluster.nodes) cluster.crash(node);
-  await cluster.clock.advance(DARK_MS);
-  reasons = [];
+  await cluster.clock.advance(DOWNTIME_MS);
+  stepDownReasons = [];
 }
 
-/** Watches control from now on. @returns the longest time without a confirmed leader, milliseconds. */
+/** Observes the cluster. @returns the longest time without a confirmed leader, milliseconds. */
 async function longestGap(): Promise<number> {
   let longestMs = 0;
   let ledAt = cluster.clock.monotonic();
   const end = ledAt + WATCH_MS;
   while (cluster.clock.monotonic() < end) {
-    await cluster.clock.advance(LOOK_MS);
+    await cluster.clock.advance(POLL_MS);
     const now = cluster.clock.monotonic();
-    if (isLed()) ledAt = now;
+    if (hasLeader()) ledAt = now;
     longestMs = Math.max(longestMs, now - ledAt);
   }
   return longestMs;
 }
 
-/** Ends a history. @returns what it is told of by, where control was without a leader for too long or `isFailure`. */
-async function judge(seed: number, isFailure = (): boolean => false): Promise<string[]> {
+/** Finishes a run. @returns its description if there was no leader for too long or `isFailure` holds, else nothing. */
+async function failuresOf(seed: number, isFailure = (): boolean => false): Promise<string[]> {
   const gapMs = await longestGap();
-  const isFailed = gapMs > BOUND_MS || isFailure();
-  const failure = `seed ${seed.toString()}: ${gapMs.toString()} ms without a leader (${reasons.join(', ')})`;
+  const isFailed = gapMs > MAX_GAP_MS || isFailure();
+  const failure = `seed ${seed.toString()}: ${gapMs.toString()} ms without a leader (${stepDownReasons.join(', ')})`;
   for (const node of cluster.nodes) cluster.crash(node);
   expect(cluster.violations).toEqual([]);
   return isFailed ? [failure] : [];
 }
 
-describe.each([10, 100])('a voter that is late to hear of the others, messages take %i ms', (maxDelayMs) => {
-  const isToLate = ({ to }: Message): boolean => to === 'a';
-  const isFirm = ({ content }: Message): boolean => isMessage(content, VoteRequestSchema) && !content.probe;
-  const isGranted = ({ content }: Message): boolean =>
+describe.each([10, 100])('a voter that receives messages late, with delays up to %i ms', (maxDelayMs) => {
+  const isToLateVoter = ({ to }: Message): boolean => to === 'a';
+  const isBindingVoteRequest = ({ content }: Message): boolean =>
+    isMessage(content, VoteRequestSchema) && !content.probe;
+  const isGrantedVote = ({ content }: Message): boolean =>
     isMessage(content, VoteResponseSchema) && content.granted;
 
-  /** The voter raises its term, and all are ended before anybody hears of it. */
-  async function leaveTerm(): Promise<void> {
+  /** The voter raises its term, and all replicas crash before any of them learns of the new term. */
+  async function raiseTermOfLateVoter(): Promise<void> {
     const late = cluster.find('a');
-    await endAll();
-    cluster.network.isHeld = (message) => message.from === 'a' && isFirm(message);
+    await crashAll();
+    cluster.network.isHeld = (message) => message.from === 'a' && isBindingVoteRequest(message);
     await cluster.startAll();
-    expect(await cluster.until(() => statusOf(late)?.state === 'candidate', PATIENCE_MS)).toBe(true);
+    expect(await cluster.until(() => statusOf(late)?.state === 'candidate', LEADER_TIMEOUT_MS)).toBe(true);
   }
 
-  /** The voter starts last and is granted its question before the others elect a leader; the answers come after that. */
-  async function bringLate(): Promise<void> {
+  /** The voter starts last and wins its pre-vote before the others elect a leader, but receives the answers after that. */
+  async function startLateVoter(): Promise<void> {
     const { clock, network } = cluster;
     const late = cluster.find('a');
     const isOvertaken = ({ from, to }: Message): boolean => from === 'a' && to === 'f';
-    network.isHeld = (message) => isToLate(message) || isOvertaken(message);
+    network.isHeld = (message) => isToLateVoter(message) || isOvertaken(message);
     for (const node of cluster.nodes) if (node !== late) await cluster.start(node);
     await clock.advance(100);
     await cluster.start(late);
-    expect(await cluster.until(isElected, PATIENCE_MS)).toBe(true);
-    // A voter that is asked only now refuses, and tells of the term of the election.
-    network.isHeld = isToLate;
+    expect(await cluster.until(isElected, LEADER_TIMEOUT_MS)).toBe(true);
+    // A voter that receives the request only now refuses, and its answer contains the term of the election.
+    network.isHeld = isToLateVoter;
     network.release(isOvertaken);
     const answer = () => network.release(({ from, isAnswer }) => from === 'f' && isAnswer);
-    expect(await cluster.until(() => answer().length > 0, PATIENCE_MS)).toBe(true);
-    await clock.advance(ACT_MS);
-    network.isHeld = (message) => isToLate(message) && !message.isAnswer;
-    const granted = network.release(({ isAnswer }) => isAnswer).filter(isGranted);
+    expect(await cluster.until(() => answer().length > 0, LEADER_TIMEOUT_MS)).toBe(true);
+    await clock.advance(REACTION_MS);
+    network.isHeld = (message) => isToLateVoter(message) && !message.isAnswer;
+    const granted = network.release(({ isAnswer }) => isAnswer).filter(isGrantedVote);
     expect(granted.length).toBeGreaterThanOrEqual(quorumOf(NAMES.length) - 1);
-    expect(await cluster.until(isLed, PATIENCE_MS)).toBe(true);
-    await clock.advance(ACT_MS);
+    expect(await cluster.until(hasLeader, LEADER_TIMEOUT_MS)).toBe(true);
+    await clock.advance(REACTION_MS);
     network.isHeld = () => false;
     network.release();
   }
 
-  // Guards against standing for a term that no voter was asked about, which unseats the leader of the term before.
-  test('unseats nobody with the term that a refusal told it of', async () => {
+  // Guards against a campaign in a term for which there was no pre-vote, which deposes the leader of the previous term.
+  test('deposes no leader after a refusal with a higher term', async () => {
     const failed: string[] = [];
     for (const seed of SEEDS) {
-      await found(seed);
-      await endAll();
+      await startCluster(seed);
+      await crashAll();
       cluster.network.maxDelayMs = maxDelayMs;
-      await bringLate();
-      failed.push(...(await judge(seed, () => reasons.length > 0)));
+      await startLateVoter();
+      failed.push(...(await failuresOf(seed, () => stepDownReasons.length > 0)));
     }
     expect(failed).toEqual([]);
   });
 
-  // Guards against a leader with a quorum that waits like any other after one voter had a higher term.
-  test('leaves control without a leader only shortly with a term that it held before the restart', async () => {
+  // Guards against a leader with a quorum that is deposed by the higher term of one voter and waits a full election
+  // timeout.
+  test('leaves the cluster without a leader only briefly if it has a higher term from before the restart', async () => {
     const failed: string[] = [];
     for (const seed of SEEDS) {
-      await found(seed);
-      await leaveTerm();
-      await endAll();
+      await startCluster(seed);
+      await raiseTermOfLateVoter();
+      await crashAll();
       cluster.network.maxDelayMs = maxDelayMs;
-      await bringLate();
-      failed.push(...(await judge(seed)));
+      await startLateVoter();
+      failed.push(...(await failuresOf(seed)));
     }
     expect(failed).toEqual([]);
   });
 });
 
-/** A span of time, milliseconds. */
+/** Shortest and longest time, milliseconds. */
 type Span = readonly [number, number];
 
-/** When processes begin to stand still, counted from the first confirmed leader, and for how long. */
+/** When processes stall, counted from the first confirmed leader, and for how long. */
 interface Stalls {
   readonly leader: { readonly afterMs: Span; readonly forMs: Span };
   readonly voters: { readonly afterMs: Span; readonly forMs: Span };
@@ -169,14 +171,14 @@
     leader: { afterMs: [0, 200], forMs: [400, 900] },
     voters: { afterMs: [0, 200], forMs: [400, 950] },
   },
-  'the voters as the leader goes on': {
+  'the voters when the leader resumes': {
     leader: { afterMs: [0, 0], forMs: [480, 480] },
     voters: { afterMs: [550, 680], forMs: [875, 950] },
   },
 };
 
-describe.each(Object.entries(STALLS))('processes that stand still behind an election, %s', (_, stalls) => {
-  /** Lets each process stand still once. Resolves when all run again. */
+describe.each(Object.entries(STALLS))('processes that stall after an election, %s', (_, stalls) => {
+  /** Stalls each process once. Resolves when all run again. */
   async function stallAll(seed: number): Promise<void> {
     const random = seeded(seed);
     const within = ([leastMs, mostMs]: Span): number => leastMs + random() * (mostMs - leastMs);
@@ -192,34 +194,37 @@
     await cluster.clock.advance(Math.max(...ends));
   }
 
-  // Guards against a leader that is lost, or control that stays without one, as processes are late for a second.
-  test.each([100, 150])('are led again soon after it, messages take %i ms', async (maxDelayMs) => {
-    const failed: string[] = [];
-    for (const seed of SEEDS) {
-      await found(seed);
-      await endAll();
-      cluster.network.maxDelayMs = maxDelayMs;
-      await cluster.startAll();
-      expect(await cluster.until(isLed, PATIENCE_MS)).toBe(true);
-      await stallAll(seed);
-      failed.push(...(await judge(seed)));
-    }
-    expect(failed).toEqual([]);
-  });
+  // Guards against a lost leader, or a long time without one, because processes stall for about a second.
+  test.each([100, 150])(
+    'have a leader again soon after, with message delays up to %i ms',
+    async (maxDelayMs) => {
+      const failed: string[] = [];
+      for (const seed of SEEDS) {
+        await startCluster(seed);
+        await crashAll();
+        cluster.network.maxDelayMs = maxDelayMs;
+        await cluster.startAll();
+        expect(await cluster.until(hasLeader, LEADER_TIMEOUT_MS)).toBe(true);
+        await stallAll(seed);
+        failed.push(...(await failuresOf(seed)));
+      }
+      expect(failed).toEqual([]);
+    },
+  );
 });
 
-describe('processes that stand still again and again', () => {
+describe('processes that stall repeatedly', () => {
   const STALLS_EACH = 6;
   const PAUSE_MS = 300;
   const FOR_MS: Span = [100, 950];
 
-  // Guards against a leader that gives up for want of answers which came while it stood still itself.
-  test('keep their leader as long as it is answered', async () => {
+  // Guards against a leader that steps down for lack of answers that arrived while it was stalled itself.
+  test('keep their leader as long as a quorum answers it', async () => {
     const failed: string[] = [];
     for (const seed of SEEDS) {
       const random = seeded(seed);
-      await found(seed);
-      await endAll();
+      await startCluster(seed);
+      await crashAll();
       for (const node of cluster.nodes) {
         let atMs = random() * PAUSE_MS;
         for (let stalls = 0; stalls < STALLS_EACH; stalls += 1) {
@@ -232,7 +237,7 @@
       }
       await cluster.startAll();
       await cluster.clock.advance(WATCH_MS);
-      if (reasons.includes('no answers of a quorum')) failed.push(`seed ${seed.toString()}`);
+      if (stepDownReasons.includes('no answers of a quorum')) failed.push(`seed ${seed.toString()}`);
       for (const node of cluster.nodes) cluster.crash(node);
       expect(cluster.violations).toEqual([]);
     }
--- a/packages/coordination/src/agreement/nextStep.spec.ts
+++ b/packages/coordination/src/agreement/nextStep.spec.ts
@@ -2,25 +2,25 @@
 import type { Configuration, Voter } from '../gen/agreement/agreement_pb.js';
 import { configurationOf, membersOf, nextStep, quorumOf, voter } from './configuration.js';
 
-/** How a voter is: `replaced` by another replica under its name, silent for long (`lost`) or for a moment (`dark`). */
+/** State of a voter: `replaced` by another replica under its name, unreachable for long (`lost`) or for a moment (`dark`). */
 type Health = 'well' | 'replaced' | 'lost' | 'dark';
 
-/** How far a learner is. */
+/** Replication state of a learner. */
 type Learner = 'caughtUp' | 'behind';
 
-interface Situation {
-  /** The leader, which is well, is not in it. */
+interface Scenario {
+  /** Voters without the leader, which is always well. */
   readonly voters: readonly Health[];
   readonly learners: readonly Learner[];
-  /** Whether those that replace voters have caught up, once they learn. */
+  /** Whether the successors of replaced voters catch up once they are learners. */
   readonly areSuccessorsCaughtUp: boolean;
 }
 
-const MOST_STEPS = 40;
+const MAX_STEPS = 40;
 
 const HEALTHS: readonly Health[] = ['well', 'replaced', 'lost', 'dark'];
 
-/** Lists of up to `most` elements, each in one order only. */
+/** All multisets of up to `most` values, as lists. */
 function lists<T>(values: readonly T[], most: number): T[][] {
   if (most === 0 || values.length === 0) return [[]];
   const [first, ...rest] = values as [T, ...T[]];
@@ -29,7 +29,7 @@
   return [...without, ...withFirst];
 }
 
-const situations: Situation[] = lists(HEALTHS, 6).flatMap((voters) =>
+const scenarios: Scenario[] = lists(HEALTHS, 6).flatMap((voters) =>
   lists<Learner>(['caughtUp', 'behind'], 2).flatMap((learners) =>
     [true, false].map((areSuccessorsCaughtUp) => ({ voters, learners, areSuccessorsCaughtUp })),
   ),
@@ -38,22 +38,22 @@
 const member = (name: string): Voter => voter(name, `${name}:1`, `${name}-id`);
 const successorOf = ({ name, address }: Voter): Voter => voter(name, address, `${name}-successor`);
 
-/** One situation, with the steps that are taken in it. */
-class Scene {
+/** Simulates the steps taken in one scenario. */
+class Simulation {
   current: Configuration;
   private readonly leader = member('v0');
   private readonly health = new Map<string, Health>();
   private readonly found = new Map<string, Voter>();
   private readonly caughtUp = new Set<string>();
 
-  constructor({ voters, learners, areSuccessorsCaughtUp }: Situation) {
+  constructor({ voters, learners, areSuccessorsCaughtUp }: Scenario) {
     const others = voters.map((_, at) => member(`v${at + 1}`));
     const learning = learners.map((_, at) => member(`l${at}`));
     this.current = configurationOf('cluster', [this.leader, ...others], learning);
-    this.note(this.leader, 'well');
-    for (const [at, other] of others.entries()) this.note(other, voters[at] ?? 'well');
+    this.addReplica(this.leader, 'well');
+    for (const [at, other] of others.entries()) this.addReplica(other, voters[at] ?? 'well');
     for (const [at, learner] of learning.entries()) {
-      this.note(learner, 'well');
+      this.addReplica(learner, 'well');
       if (learners[at] === 'caughtUp') this.caughtUp.add(learner.replicaId);
     }
     if (areSuccessorsCaughtUp) {
@@ -70,7 +70,7 @@
     return quorumOf(this.current.voters.length);
   }
 
-  /** Voters that may still be lost before there is no quorum. */
+  /** Voters that may still be lost without losing the quorum. */
   get spare(): number {
     return this.alive - this.needed;
   }
@@ -87,7 +87,7 @@
     return this.current.voters.filter(({ replicaId }) => this.health.get(replicaId) === health).length;
   }
 
-  /** Learners that could vote: they answer, have caught up, and no voter has their name. */
+  /** Learners that could be promoted: they answer, have caught up, and no voter has their name. */
   get ready(): number {
     const names = new Set(this.current.voters.map(({ name }) => name));
     return this.current.learners.filter(
@@ -96,10 +96,10 @@
   }
 
   next(): Configuration | undefined {
-    const wanted = [...new Map(membersOf(this.current).map((one) => [one.name, one])).values()];
+    const desired = [...new Map(membersOf(this.current).map((one) => [one.name, one])).values()];
     return nextStep({
       current: this.current,
-      desired: wanted,
+      desired,
       self: this.leader.replicaId,
       found: this.found,
       isCaughtUp: (id) => this.caughtUp.has(id),
@@ -108,7 +108,7 @@
     });
   }
 
-  private note(one: Voter, health: Health): void {
+  private addReplica(one: Voter, health: Health): void {
     this.health.set(one.replicaId, health);
     if (health === 'well') this.found.set(one.name, one);
     if (health !== 'replaced') return;
@@ -129,64 +129,68 @@
   return [...old].filter((id) => !fresh.has(id)).length + [...fresh].filter((id) => !old.has(id)).length;
 };
 
-describe('the steps to the wanted replicas, in all small configurations whose leader has a quorum', () => {
-  const led = situations.filter((situation) => new Scene(situation).spare >= 0);
-
-  /** Takes all steps of a situation, and checks each. */
-  function walk(
-    situation: Situation,
-    check: (before: Scene, after: Configuration, scene: Scene) => void,
-  ): Scene {
-    const scene = new Scene(situation);
-    for (let steps = 0; steps < MOST_STEPS; steps += 1) {
-      const next = scene.next();
-      if (next === undefined) return scene;
-      const before = Object.assign(new Scene(situation), { current: scene.current });
-      scene.current = next;
-      check(before, next, scene);
+describe('the steps to the desired replicas, in all small configurations whose leader has a quorum', () => {
+  const withQuorum = scenarios.filter((scenario) => new Simulation(scenario).spare >= 0);
+
+  /** Takes all steps of a scenario, and checks each. */
+  function runSteps(
+    scenario: Scenario,
+    check: (before: Simulation, after: Configuration, simulation: Simulation) => void,
+  ): Simulation {
+    const simulation = new Simulation(scenario);
+    for (let steps = 0; steps < MAX_STEPS; steps += 1) {
+      const next = simulation.next();
+      if (next === undefined) return simulation;
+      const before = Object.assign(new Simulation(scenario), { current: simulation.current });
+      simulation.current = next;
+      check(before, next, simulation);
     }
-    throw new Error(`no end: ${JSON.stringify(situation)}`);
+    throw new Error(`no end: ${JSON.stringify(scenario)}`);
   }
 
-  const failing = (check: (before: Scene, after: Configuration, scene: Scene) => boolean): Situation[] =>
-    led.filter((situation) => {
+  const failing = (
+    check: (before: Simulation, after: Configuration, simulation: Simulation) => boolean,
+  ): Scenario[] =>
+    withQuorum.filter((scenario) => {
       const results: boolean[] = [];
-      walk(situation, (before, after, scene) => {
-        results.push(check(before, after, scene));
+      runSteps(scenario, (before, after, simulation) => {
+        results.push(check(before, after, simulation));
       });
       return results.includes(false);
     });
 
-  // Two configurations that follow one another have quorums without a common voter.
+  // Guards against successive configurations with disjoint quorums.
   it('change one voter at most', () => {
     expect(failing((before, after) => changedVoters(before.current, after) <= 1)).toEqual([]);
   });
 
-  // A leader loses its quorum to one slow voter in the middle of a change that was to make it safer.
-  it('never leave fewer voters to spare', () => {
-    expect(failing((before, _after, scene) => scene.spare >= before.spare)).toEqual([]);
+  // Guards against a leader that loses its quorum to one slow voter in the middle of a change meant to increase fault
+  // tolerance.
+  it('never reduce the number of tolerated losses', () => {
+    expect(failing((before, _after, simulation) => simulation.spare >= before.spare)).toEqual([]);
   });
 
-  // Each slow voter of a larger set costs the leader its quorum, while one of them doesn't answer and nothing is won.
-  it('need more voters only when all answer, or more are left to spare', () => {
-    const isWorthIt = (before: Scene, scene: Scene): boolean =>
-      scene.needed <= before.needed ||
-      scene.spare > before.spare ||
+  // Guards against a larger quorum without more fault tolerance while a voter doesn't answer: each slow voter could cost
+  // the leader its quorum.
+  it('make the quorum larger only when all voters answer or more losses are tolerated', () => {
+    const isJustified = (before: Simulation, simulation: Simulation): boolean =>
+      simulation.needed <= before.needed ||
+      simulation.spare > before.spare ||
       before.alive === before.current.voters.length;
-    expect(failing((before, _after, scene) => isWorthIt(before, scene))).toEqual([]);
+    expect(failing((before, _after, simulation) => isJustified(before, simulation))).toEqual([]);
   });
 
-  // A voter that can never vote again counts on, and one more is needed for each quorum as learners come to vote.
-  it('need no more voters while one counts that was replaced', () => {
+  // Guards against promotions while a voter that can never vote again still counts: each would make the quorum larger.
+  it('make the quorum no larger while a replaced voter counts', () => {
     expect(
-      failing((before, _after, scene) => before.replaced === 0 || scene.needed <= before.needed),
+      failing((before, _after, simulation) => before.replaced === 0 || simulation.needed <= before.needed),
     ).toEqual([]);
   });
 
-  it('end with no voter that was replaced, and no learner that could vote while all voters answer', () => {
-    const ends = led.map((situation) => ({ situation, end: walk(situation, () => undefined) }));
-    const isOpen = (end: Scene): boolean => end.replaced > 0 || (end.ready > 0 && end.dark === 0);
+  it('end without replaced voters, and without learners that could vote while all voters answer', () => {
+    const ends = withQuorum.map((scenario) => ({ scenario, end: runSteps(scenario, () => undefined) }));
+    const isOpen = (end: Simulation): boolean => end.replaced > 0 || (end.ready > 0 && end.dark === 0);
     const unfinished = ends.filter(({ end }) => isOpen(end));
-    expect(unfinished.map(({ situation }) => situation)).toEqual([]);
+    expect(unfinished.map(({ scenario }) => scenario)).toEqual([]);
   });
 });
--- a/packages/coordination/src/agreement/peerClient.ts
+++ b/packages/coordination/src/agreement/peerClient.ts
@@ -104,8 +104,8 @@
   }
 
   private client(transport: Transport): AgreementClient {
-    const known = this.clients.get(transport);
-    if (known !== undefined) return known;
+    const existing = this.clients.get(transport);
+    if (existing !== undefined) return existing;
     const client = createClient(Agreement, transport);
     this.clients.set(transport, client);
     return client;
--- a/packages/coordination/src/agreement/query.spec.ts
+++ b/packages/coordination/src/agreement/query.spec.ts
@@ -1,10 +1,10 @@
-/** Commands that change nothing, answered from the leader's state. */
+/** Queries: read-only commands, answered from the leader's state. */
 import { afterEach, expect, test } from 'vitest';
 import { MemoryCluster } from '../testing/index.js';
 import type { Node } from '../testing/index.js';
 
-/** Longest wait of an operator for one answer, milliseconds. */
-const PATIENCE_MS = 900;
+/** Timeout of a query, milliseconds. */
+const QUERY_TIMEOUT_MS = 900;
 
 let cluster: MemoryCluster;
 
@@ -24,8 +24,8 @@
 }
 
 async function outcomeAt(node: Node): Promise<string> {
-  const query = cluster.query(node, PATIENCE_MS);
-  await cluster.until(() => query.outcome !== 'open', 2 * PATIENCE_MS);
+  const query = cluster.query(node, QUERY_TIMEOUT_MS);
+  await cluster.until(() => query.outcome !== 'open', 2 * QUERY_TIMEOUT_MS);
   return query.outcome;
 }
 
@@ -34,15 +34,15 @@
   for (const node of cluster.nodes) cluster.crash(node);
 });
 
-test('a query is answered at every replica, with all that was accepted before', async () => {
+test('a query is answered on every replica and reflects all commands committed before', async () => {
   const leader = await started(['a', 'b', 'c']);
   const attempt = cluster.propose(leader, 'accepted');
   await cluster.until(() => attempt.outcome === 'done', 5_000);
   for (const node of cluster.nodes) expect(await outcomeAt(node)).toBe('answered');
 });
 
-// Guards against answers of a leader that others have replaced: they lack what was accepted since.
-test('a leader that is cut off answers no query', async () => {
+// Guards against answers from a leader that was replaced: they lack the commands committed since.
+test('an isolated leader answers no query', async () => {
   const old = await started(['a', 'b', 'c']);
   isolate(old);
   const leads = (node: Node): boolean => node !== old && node.replica?.status().state === 'leader';
@@ -54,7 +54,7 @@
   expect(await outcomeAt(old)).toBe('refused');
 });
 
-// Guards against a read that waits behind commands which wait for a quorum's disks.
+// Guards against a query that waits for earlier commands, which in turn wait for the disks of a quorum.
 test('a query is answered while commands wait for slow disks', async () => {
   const leader = await started(['a', 'b', 'c'], { maxUncommittedBytes: 1_000 });
   for (const node of cluster.nodes) node.disk.syncDelay = () => cluster.clock.sleep(5_000);
@@ -63,8 +63,8 @@
   for (const node of cluster.nodes) expect(await outcomeAt(node)).toBe('answered');
 });
 
-// Guards against an answer of a leader that has not committed anything in its term, and may not know of what was accepted.
-test('a query at a new leader waits for what the last one accepted', async () => {
+// Guards against an answer from a leader without a committed entry in its term, which may not know all committed commands.
+test('a query on a new leader reflects the commands committed by the previous one', async () => {
   const old = await started(['a', 'b', 'c']);
   const attempt = cluster.propose(old, 'accepted');
   await cluster.until(() => attempt.outcome === 'done', 5_000);
--- a/packages/coordination/src/agreement/quorumWindow.spec.ts
+++ b/packages/coordination/src/agreement/quorumWindow.spec.ts
@@ -1,4 +1,4 @@
-/** The time in which a quorum must answer a leader that stood still. */
+/** The quorum window of a leader that was stalled. */
 import type { Log } from '@jasmineroute/core';
 import { expect, test } from 'vitest';
 import { coordinationEvents } from '../events.js';
@@ -6,23 +6,24 @@
 
 const SEEDS = Array.from({ length: 40 }, (_, at) => at + 1);
 
-const PATIENCE_MS = 10_000;
+const LEADER_TIMEOUT_MS = 10_000;
 
-/** Commands that are on their way when the leader stops, each proposed so long after the one before, milliseconds. */
+/** Number of commands in flight when the leader stalls, and the interval between them, milliseconds. */
 const COMMANDS = 8;
-const APART_MS = 2;
+const COMMAND_INTERVAL_MS = 2;
 
-/** How long the leader stands still, milliseconds. */
+/** Length of the stall of the leader, milliseconds. */
 const STALL_MS = 900;
 
-/** When the voters stand still, counted from the leader's stall, and for how long; milliseconds. */
+/** Start of the voters' stall after that of the leader, and its length, milliseconds. */
 const VOTERS_AFTER_MS = 90;
 const VOTERS_FOR_MS = 1_480;
 
 const WATCH_MS = 1_700;
 
-// Guards against a widened window that commits narrow again at once, as each of them wakes the task that looks.
-test.each([0, COMMANDS])('is as much longer after %i commands', async (commands) => {
+// Guards against commits that shorten the extended window again at once, as each of them wakes the task that checks the
+// quorum.
+test.each([0, COMMANDS])('is extended by the stall with %i commands in flight', async (commands) => {
   const lost: number[] = [];
   for (const seed of SEEDS) {
     const reasons: unknown[] = [];
@@ -34,13 +35,13 @@
     };
     const cluster = new MemoryCluster(seed, ['a', 'b', 'c'], {}, log);
     await cluster.startAll();
-    expect(await cluster.until(() => cluster.leader() !== undefined, PATIENCE_MS)).toBe(true);
+    expect(await cluster.until(() => cluster.leader() !== undefined, LEADER_TIMEOUT_MS)).toBe(true);
     await cluster.clock.advance(3_000);
     const leader = cluster.leader();
     if (leader === undefined) throw new Error('no leader');
     for (let count = 0; count < commands; count += 1) {
       cluster.propose(leader, count.toString());
-      await cluster.clock.advance(APART_MS);
+      await cluster.clock.advance(COMMAND_INTERVAL_MS);
     }
     cluster.stall(leader, STALL_MS);
     const voters = cluster.nodes.filter((node) => node !== leader);
--- a/packages/coordination/src/agreement/reconfiguration.ts
+++ b/packages/coordination/src/agreement/reconfiguration.ts
@@ -130,8 +130,8 @@
     desired: readonly ReplicaAddress[],
   ): Promise<Map<string, Voter>> {
     const answers = await Promise.all(desired.map((replica) => this.findReplica(leadership, replica)));
-    const known = answers.filter((answer) => answer !== undefined);
-    return new Map(known.map((member) => [member.name, member]));
+    const found = answers.filter((answer) => answer !== undefined);
+    return new Map(found.map((member) => [member.name, member]));
   }
 
   private async findReplica(leadership: Leadership, desired: ReplicaAddress): Promise<Voter | undefined> {
--- a/packages/coordination/src/agreement/replacement.spec.ts
+++ b/packages/coordination/src/agreement/replacement.spec.ts
@@ -1,4 +1,4 @@
-/** Voters that are lost for good, and others that come in their place at new addresses. */
+/** Voters that are lost for good or for a while, and their replacement by instances at new addresses. */
 import type { Log } from '@jasmineroute/core';
 import { afterEach, describe, expect, test } from 'vitest';
 import { coordinationEvents } from '../events.js';
@@ -6,20 +6,20 @@
 import { MemoryCluster } from '../testing/index.js';
 import type { Node } from '../testing/index.js';
 
-/** From the start of an instance that comes in another's place until it must have taken it, milliseconds. */
-const TAKES_PLACE_MS = 4_000;
+/** Time limit for a new instance to replace a lost voter, milliseconds. */
+const REPLACEMENT_MS = 4_000;
 
-/** From the start of all until they must serve again, milliseconds. */
-const RECOVERS_MS = 12_000;
+/** Time limit for a restarted cluster to serve again, milliseconds. */
+const RECOVERY_MS = 12_000;
 
 let cluster: MemoryCluster;
-let told: { readonly id: number; readonly fields: Readonly<Record<string, unknown>> }[];
+let logged: { readonly id: number; readonly fields: Readonly<Record<string, unknown>> }[];
 
 async function started(names: readonly string[], tuning: Partial<Tuning> = {}): Promise<void> {
-  told = [];
+  logged = [];
   const log: Log = {
     event: ({ id }, fields = {}) => {
-      told.push({ id, fields });
+      logged.push({ id, fields });
     },
     with: () => log,
   };
@@ -43,7 +43,7 @@
   return attempt.outcome === 'done';
 }
 
-/** Adds an empty machine, which asks to be taken in. */
+/** Adds a replica with an empty disk as a voter. */
 async function add(name: string): Promise<Node> {
   const node = cluster.add(name);
   await cluster.start(node);
@@ -51,7 +51,7 @@
   return node;
 }
 
-/** All running machines lose power at once and come back; the disk of one is empty then. */
+/** All running replicas lose power at once and restart, one of them with an empty disk. */
 async function losePower(wiped: Node): Promise<void> {
   const running = cluster.nodes.filter(({ replica }) => replica !== undefined);
   for (const node of running) {
@@ -67,48 +67,48 @@
 });
 
 describe('a voter that is gone for good', () => {
-  // Guards against a voter that is gone for good and goes on counting, so that the next lost disk leaves no quorum.
-  test('is no voter any more once another instance has come in its place', async () => {
+  // Guards against a lost voter that still counts, so that the next lost disk leaves no quorum.
+  test('is removed from the voters once another instance has replaced it', async () => {
     await started(['a', 'b', 'c']);
     expect(await accepted('kept')).toBe(true);
-    const gone = leaderOf();
-    cluster.wipe(gone);
-    expect(await cluster.until(() => ![undefined, gone].includes(cluster.leader()), 5_000)).toBe(true);
+    const lostVoter = leaderOf();
+    cluster.wipe(lostVoter);
+    expect(await cluster.until(() => ![undefined, lostVoter].includes(cluster.leader()), 5_000)).toBe(true);
     const fresh = await add('d');
-    await cluster.clock.advance(TAKES_PLACE_MS);
-    const remaining = cluster.nodes.filter((node) => node !== gone);
+    await cluster.clock.advance(REPLACEMENT_MS);
+    const remaining = cluster.nodes.filter((node) => node !== lostVoter);
     const wiped = remaining.find((node) => node !== fresh && node !== cluster.leader());
     if (wiped === undefined) throw new Error('no follower');
     await losePower(wiped);
-    expect(await cluster.until(() => cluster.leader() !== undefined, RECOVERS_MS)).toBe(true);
+    expect(await cluster.until(() => cluster.leader() !== undefined, RECOVERY_MS)).toBe(true);
     expect(await accepted('after')).toBe(true);
     expect(votersOf(leaderOf())).toEqual(remaining.map(({ address }) => address.name).sort());
     await cluster.clock.advance(5_000);
     cluster.checkEnd(remaining);
   });
 
-  // Guards against an instance that is taken away after its successor came and keeps its vote.
-  test('is no voter any more when it leaves after its successor has come', async () => {
+  // Guards against an instance that keeps its vote when it is removed after its successor was added.
+  test('is removed from the voters when it leaves after its successor was added', async () => {
     await started(['a', 'b', 'c']);
     await add('d');
     expect(await cluster.until(() => votersOf(leaderOf()).length === 4, 10_000)).toBe(true);
-    const gone = cluster.nodes.find((node) => node !== cluster.leader() && node.address.name !== 'd');
-    if (gone === undefined) throw new Error('no follower');
-    cluster.wipe(gone);
-    await cluster.clock.advance(TAKES_PLACE_MS);
-    expect(votersOf(leaderOf())).not.toContain(gone.address.name);
+    const lostVoter = cluster.nodes.find((node) => node !== cluster.leader() && node.address.name !== 'd');
+    if (lostVoter === undefined) throw new Error('no follower');
+    cluster.wipe(lostVoter);
+    await cluster.clock.advance(REPLACEMENT_MS);
+    expect(votersOf(leaderOf())).not.toContain(lostVoter.address.name);
     expect(votersOf(leaderOf())).toHaveLength(3);
   });
 });
 
 describe('a voter that is lost for a while', () => {
-  // Guards against a voter that was cut off for some seconds and never votes again.
-  test('gives its vote up beside an even number of voters, and has it again when it is back', async () => {
+  // Guards against a voter that never votes again after some seconds of isolation.
+  test('is demoted if the number of voters is even, and promoted again when it returns', async () => {
     await started(['a', 'b', 'c', 'd']);
-    const cut = cluster.nodes.find((node) => node !== cluster.leader());
-    if (cut === undefined) throw new Error('no follower');
-    const { name } = cut.address;
-    for (const other of cluster.nodes) if (other !== cut) cluster.network.cut(name, other.address.name);
+    const isolated = cluster.nodes.find((node) => node !== cluster.leader());
+    if (isolated === undefined) throw new Error('no follower');
+    const { name } = isolated.address;
+    for (const other of cluster.nodes) if (other !== isolated) cluster.network.cut(name, other.address.name);
     expect(await cluster.until(() => votersOf(leaderOf()).length === 3, 5_000)).toBe(true);
     expect(votersOf(leaderOf())).not.toContain(name);
     expect(await accepted('while it was cut off')).toBe(true);
@@ -118,7 +118,7 @@
     cluster.checkEnd();
   });
 
-  test('keeps its vote beside an odd number of voters, where a quorum would be none less without it', async () => {
+  test('keeps its vote if the number of voters is odd, as the quorum would not become smaller', async () => {
     await started(['a', 'b', 'c']);
     const cut = cluster.nodes.find((node) => node !== cluster.leader());
     if (cut === undefined) throw new Error('no follower');
@@ -130,12 +130,12 @@
     cluster.checkEnd();
   });
 
-  // Guards against a leader that goes on calling each instance that was ever replaced.
-  test('is called no more once others have come in its place', async () => {
+  // Guards against a leader that keeps calling every instance that was ever replaced.
+  test('is no longer called once others have replaced it', async () => {
     await started(['a', 'b', 'c']);
-    const gone = leaderOf();
-    cluster.wipe(gone);
-    expect(await cluster.until(() => ![undefined, gone].includes(cluster.leader()), 5_000)).toBe(true);
+    const lostVoter = leaderOf();
+    cluster.wipe(lostVoter);
+    expect(await cluster.until(() => ![undefined, lostVoter].includes(cluster.leader()), 5_000)).toBe(true);
     await add('d');
     const isReplaced = (): boolean => votersOf(leaderOf()).includes('d') && votersOf(leaderOf()).length === 3;
     expect(await cluster.until(isReplaced, 5_000)).toBe(true);
@@ -149,16 +149,16 @@
 });
 
 describe('six voters', () => {
-  // Guards against the same with six voters, two of which may be lost at once.
-  test('bear two lost disks after two of them were replaced by others', async () => {
+  // Guards against lost voters that still count, with six voters, two of which may be lost at once.
+  test('tolerate two lost disks after two of them were replaced', async () => {
     await started(['a', 'b', 'c', 'd', 'e', 'f']);
     expect(await accepted('kept')).toBe(true);
-    const gone = cluster.nodes.filter((node) => node !== cluster.leader()).slice(0, 2);
-    for (const node of gone) cluster.wipe(node);
+    const lostVoters = cluster.nodes.filter((node) => node !== cluster.leader()).slice(0, 2);
+    for (const node of lostVoters) cluster.wipe(node);
     await add('g');
     await add('h');
-    await cluster.clock.advance(TAKES_PLACE_MS + 1_000);
-    const remaining = cluster.nodes.filter((node) => !gone.includes(node));
+    await cluster.clock.advance(REPLACEMENT_MS + 1_000);
+    const remaining = cluster.nodes.filter((node) => !lostVoters.includes(node));
     expect(votersOf(leaderOf())).toEqual(expect.arrayContaining(['g', 'h']));
     const wiped = remaining.filter((node) => node !== cluster.leader()).slice(0, 2);
     for (const node of remaining) {
@@ -166,7 +166,7 @@
       else cluster.crash(node);
     }
     for (const node of remaining) await cluster.start(node);
-    expect(await cluster.until(() => cluster.leader() !== undefined, RECOVERS_MS)).toBe(true);
+    expect(await cluster.until(() => cluster.leader() !== undefined, RECOVERY_MS)).toBe(true);
     expect(await accepted('after')).toBe(true);
     const all = remaining.map(({ address }) => address.name);
     const allVote = (): boolean => all.every((name) => votersOf(leaderOf()).includes(name));
@@ -176,8 +176,8 @@
   });
 });
 
-describe('what is logged of lost voters', () => {
-  test('tells of a voter that is silent, how many more may be lost, and that it answers again', async () => {
+describe('log events about lost voters', () => {
+  test('report a silent voter with the number of further losses tolerated, and its return', async () => {
     await started(['a', 'b', 'c']);
     const lost = cluster.nodes.find((node) => node !== cluster.leader());
     if (lost === undefined) throw new Error('no follower');
@@ -185,24 +185,24 @@
     await cluster.clock.advance(4_000);
     const { name } = lost.address;
     const silent = { id: coordinationEvents.voterSilent.id, fields: { name, voters: 3, spare: 0 } };
-    expect(told.filter(({ id }) => id === silent.id)).toEqual([silent]);
+    expect(logged.filter(({ id }) => id === silent.id)).toEqual([silent]);
     await cluster.start(lost);
     await cluster.clock.advance(1_000);
-    expect(told.some(({ id }) => id === coordinationEvents.voterAnswers.id)).toBe(true);
+    expect(logged.some(({ id }) => id === coordinationEvents.voterAnswers.id)).toBe(true);
   });
 
-  // Guards against too few voters for the losses that may come, of which nothing tells before the last one.
-  test('tells when fewer vote than the losses to be borne ask for', async () => {
+  // Guards against too few voters for the losses to tolerate, which would go unnoticed until the quorum is lost.
+  test('report too few voters for the losses to tolerate', async () => {
     await started(['a', 'b', 'c', 'd'], { lossesToBear: 2 });
     const expected = { id: coordinationEvents.tooFewVoters.id, fields: { voters: 4, lossesToBear: 2 } };
-    expect(told.filter(({ id }) => id === expected.id)).toEqual([expected]);
+    expect(logged.filter(({ id }) => id === expected.id)).toEqual([expected]);
     await add('e');
     await cluster.until(() => votersOf(leaderOf()).length === 5, 5_000);
-    expect(told.filter(({ id }) => id === expected.id)).toHaveLength(1);
+    expect(logged.filter(({ id }) => id === expected.id)).toHaveLength(1);
   });
 
-  // Guards against a record that does not tell a lost quorum from votes that are refused.
-  test('tells who gave no vote, and why, when nobody can be elected', async () => {
+  // Guards against logs that do not distinguish a lost quorum from refused votes.
+  test('report which voters gave no vote, and why, when no leader can be elected', async () => {
     await started(['a', 'b', 'c']);
     const [left, down, wiped] = [cluster.find('a'), cluster.find('b'), cluster.find('c')];
     for (const node of cluster.nodes) cluster.crash(node);
@@ -212,6 +212,6 @@
     await cluster.clock.advance(3_000);
     const fields = { granted: [], refused: [], silent: [down.address.name], replaced: [wiped.address.name] };
     const expected = { id: coordinationEvents.tooFewVotes.id, fields: { ...fields, voters: 3, needed: 2 } };
-    expect(told.filter(({ id }) => id === expected.id)).toEqual([expected]);
+    expect(logged.filter(({ id }) => id === expected.id)).toEqual([expected]);
   });
 });
--- a/packages/coordination/src/agreement/replication.ts
+++ b/packages/coordination/src/agreement/replication.ts
@@ -161,7 +161,8 @@
   }
   /*
    * A disk that drops synced bytes, or a journal that was truncated by hand, leaves a replica without entries that it
-   * acknowledged. If this were treated as an outdated answer, the same message would be sent again and again.
+   * acknowledged. If this were treated as an outdated answer, the replica would be sent the same message for ever and stay out
+   * of contact.
    */
   if (answer.matchIndex < progress.match) {
     // An answer to a message sent before the match advanced may be outdated.
--- a/packages/coordination/src/agreement/requestCheck.spec.ts
+++ b/packages/coordination/src/agreement/requestCheck.spec.ts
@@ -27,20 +27,20 @@
 const isAppend = (init: object): boolean => requestChecks.append(create(AppendRequestSchema, init));
 const isInstall = (init: object): boolean => requestChecks.install(create(InstallRequestSchema, init));
 
-/** Each form of a request that lacks one field. */
+/** Variants of a request that each lack one field. */
 const without = (init: object): object[] =>
   Object.keys(init).map((field) => ({ ...init, [field]: undefined }));
 
 describe('requests between replicas', () => {
-  it('are taken when they are whole', () => {
+  it('are accepted when they are complete', () => {
     expect([isVote(vote), isAppend(append), isInstall(install)]).toEqual([true, true, true]);
     expect(isAppend({ ...append, entries: [] })).toBe(true);
     expect(requestChecks.join(create(JoinRequestSchema, { replica: member }))).toBe(true);
     expect(requestChecks.propose(create(ProposeRequestSchema, { command: new Uint8Array(1) }))).toBe(true);
   });
 
-  // A part of a request raises terms, cuts the log, or brings in a member that can't be called.
-  it('are not taken when they lack anything', () => {
+  // Guards against incomplete requests that raise terms, truncate the log, or add a member that can't be reached.
+  it('are rejected when a field is missing', () => {
     expect(without(vote).filter(isVote)).toEqual([]);
     expect(without(install).filter(isInstall)).toEqual([]);
     expect(without(sender).filter((part) => isAppend({ ...append, ...part }))).toEqual([]);
@@ -53,7 +53,7 @@
     expect(requestChecks.propose(create(ProposeRequestSchema))).toBe(false);
   });
 
-  it('are not taken when their entries do not follow one another', () => {
+  it('are rejected when their entries are not consecutive', () => {
     const indexes = fc.array(fc.bigInt({ min: 1n, max: 12n }), { minLength: 1, maxLength: 4 });
     fc.assert(
       fc.property(indexes, (drawn) => {
--- a/packages/coordination/src/agreement/safety.spec.ts
+++ b/packages/coordination/src/agreement/safety.spec.ts
@@ -1,4 +1,4 @@
-/** Rules that keep committed entries, each in a situation where only that rule does. */
+/** Safety rules for committed entries, each in a scenario where only that rule protects them. */
 import { create } from '@bufbuild/protobuf';
 import { createClient } from '@connectrpc/connect';
 import { afterEach, describe, expect, test } from 'vitest';
@@ -27,7 +27,7 @@
 const hang = (): Promise<void> => new Promise(() => undefined);
 
 describe('three replicas', () => {
-  async function started(): Promise<{ leader: Node; follower: Node; down: Node }> {
+  async function startThree(): Promise<{ leader: Node; follower: Node; down: Node }> {
     cluster = new MemoryCluster(11, ['a', 'b', 'c']);
     await cluster.startAll();
     await cluster.until(() => cluster.leader() !== undefined, 10_000);
@@ -39,13 +39,12 @@
     return { leader, follower, down };
   }
 
+  // Guards against counting entries that are written but not synced: a committed command would be lost when one replica
+  // loses power.
   test.each(['leader', 'follower'] as const)(
-    'a copy that is not synced at the %s does not count',
+    'an entry that is not synced on the %s does not count',
     async (slow) => {
-      // Symptom: an accepted command is gone after a power cut of one.
-      // Sequence: one of three is down, the sync of a second never ends, heartbeats go on.
-      // Cause: a written copy counted as a lasting one.
-      const nodes = await started();
+      const nodes = await startThree();
       nodes[slow].disk.syncDelay = hang;
       const attempt = cluster.propose(nodes.leader, 'unsafe', 2_000);
       await cluster.clock.advance(3_000);
@@ -53,11 +52,10 @@
     },
   );
 
-  test('a vote lasts over a power cut', async () => {
-    // Symptom: two leaders in one term.
-    // Sequence: a replica votes, loses power, and is asked by another candidate of the same term.
-    // Cause: the vote was not synced before it was given, or not looked at.
-    const { leader, follower } = await started();
+  // Guards against two leaders in one term, when a vote is not synced before it is granted and the replica votes again
+  // after a power cut.
+  test('a vote survives a power cut', async () => {
+    const { leader, follower } = await startThree();
     const { clusterId = '' } = statusOf(leader).configuration ?? {};
     cluster.crash(leader);
     await cluster.clock.advance(550);
@@ -80,11 +78,10 @@
     expect(await ask('first')).toBe(true);
   });
 
-  test('a replica that hears a leader gives no vote, and takes no message meant for another', async () => {
-    // Symptom: a removed replica unseats the leader again and again; an empty disk gets the old one's entries.
-    // Sequence: a candidate with a long log asks; a message names the replica that was here before.
-    // Cause: only term and log are looked at.
-    const { leader, follower } = await started();
+  // Guards against a removed replica that keeps deposing the leader with vote requests, and against an empty disk that
+  // receives messages meant for the old one, when only term and log are checked.
+  test('a replica in contact with a leader grants no vote, and accepts no message meant for another replica', async () => {
+    const { leader, follower } = await startThree();
     const status = statusOf(follower);
     const { clusterId = '' } = status.configuration ?? {};
     const client = createClient(Agreement, cluster.network.connect('test', follower.address.address));
@@ -102,11 +99,10 @@
     expect(statusOf(leader).state).toBe('leader');
   });
 
-  test('entries that a later leader replaced while they were synced are not confirmed', async () => {
-    // Symptom: a leader that was replaced commits an entry that no quorum has.
-    // Sequence: an append waits for a slow sync; a leader of a later term replaces the entry; the sync ends.
-    // Cause: the confirmation speaks of the log as it was when the sync began.
-    const { leader, follower } = await started();
+  // Guards against a deposed leader that commits an entry without a quorum: the follower confirms the entry after its
+  // sync, although a later leader replaced it meanwhile.
+  test('entries that a later leader replaced during their sync are not acknowledged', async () => {
+    const { leader, follower } = await startThree();
     const { clusterId = '' } = statusOf(leader).configuration ?? {};
     cluster.crash(leader);
     const { commitIndex, term, replicaId } = statusOf(follower);
@@ -118,7 +114,7 @@
       const message = { clusterId, leader: by, term: newTerm, replicaId, entries: [entry], ...previous };
       void client.append(create(AppendRequestSchema, message)).then(({ success }) => confirmed.push(success));
     };
-    // The term is saved first, then the entry: only the entry's sync is slow.
+    // The term is synced first, then the entry; only the sync of the entry is slow.
     const delays = [5, 500];
     follower.disk.syncDelay = () => cluster.clock.sleep(delays.shift() ?? 5);
     append('old', 20n);
@@ -130,7 +126,7 @@
 });
 
 describe('one replica and stubs', () => {
-  async function led(): Promise<{ node: Node; stubs: StubReplica[] }> {
+  async function startLeader(): Promise<{ node: Node; stubs: StubReplica[] }> {
     cluster = new MemoryCluster(13, ['a', 'b', 'c']);
     const stubs = ['b', 'c'].map((name) => new StubReplica(name, cluster.network));
     const node = cluster.find('a');
@@ -143,11 +139,10 @@
     return [...(configuration?.voters ?? []), ...(configuration?.learners ?? [])].map(({ name }) => name);
   };
 
-  test('an entry of an earlier term is not committed by counting copies', async () => {
-    // Symptom: an accepted command is replaced by another (figure 8 of the Raft paper).
-    // Sequence: a quorum holds the founding entry of term 1, but not yet the leader's own of term 2.
-    // Cause: a candidate without the old entry can still win with a newer one.
-    const { node, stubs } = await led();
+  // Guards against committing an entry of an earlier term by counting replicas: a candidate without it can still win with
+  // a newer entry (figure 8 of the Raft paper).
+  test('an entry of an earlier term is not committed by counting replicas', async () => {
+    const { node, stubs } = await startLeader();
     for (const stub of stubs) stub.syncedLimit = 1n;
     await cluster.until(() => statusOf(node).state === 'leader', 10_000);
     await cluster.clock.advance(2_000);
@@ -157,11 +152,10 @@
     expect(statusOf(node).commitIndex).toBe(2n);
   });
 
-  test("replicas don't change before an entry of the leader's term is committed", async () => {
-    // Symptom: two leaders in turn make two sets of replicas with quorums that share nobody.
-    // Sequence: a leader is elected again; its first entry is not committed yet; a change is wanted.
-    // Cause: an unseen change of another leader may still win.
-    const { node, stubs } = await led();
+  // Guards against disjoint quorums made by two successive leaders: an uncommitted change of the previous leader may
+  // still win.
+  test("the configuration doesn't change before an entry of the leader's term is committed", async () => {
+    const { node, stubs } = await startLeader();
     await cluster.until(() => statusOf(node).vouched, 10_000);
     const before = statusOf(node);
     for (const stub of stubs) Object.assign(stub, { answers: false, syncedLimit: before.commitIndex });
@@ -170,8 +164,8 @@
     for (const stub of stubs) stub.answers = true;
     await cluster.until(() => statusOf(node).state === 'leader', 10_000);
     new StubReplica('d', cluster.network);
-    const wanted = ['a', 'b', 'c', 'd'].map((name) => ({ name, address: name }));
-    void node.replica?.changeReplicas(wanted);
+    const desired = ['a', 'b', 'c', 'd'].map((name) => ({ name, address: name }));
+    void node.replica?.changeReplicas(desired);
     await cluster.clock.advance(2_000);
     expect(names(node)).toEqual(['a', 'b', 'c']);
     for (const stub of stubs) stub.syncedLimit = 100n;
@@ -179,11 +173,10 @@
     expect(names(node)).toEqual(['a', 'b', 'c', 'd']);
   });
 
+  // Guards against lost commands after a repair: a new replica that votes before it has caught up counts towards quorums
+  // without the data.
   test('a replica that has not caught up does not vote', async () => {
-    // Symptom: accepted commands are lost with the next failure after a repair.
-    // Sequence: a new replica is wanted; it answers, but has synced nothing yet.
-    // Cause: it counts towards quorums without the data that these promise.
-    const { node } = await led();
+    const { node } = await startLeader();
     await cluster.until(() => statusOf(node).vouched, 10_000);
     const fresh = new StubReplica('d', cluster.network);
     fresh.syncedLimit = 0n;
@@ -196,11 +189,9 @@
     expect(statusOf(node).configuration?.voters).toHaveLength(4);
   });
 
-  test('a command whose place another one got is not answered with its result', async () => {
-    // Symptom: a caller gets the result of somebody else's command.
-    // Sequence: a command is in the leader's log only; a later leader commits another one at the same index.
-    // Cause: whoever waits for an index takes whatever is applied there.
-    const { node, stubs } = await led();
+  // Guards against a caller that receives the result of another command, which a later leader committed at the same index.
+  test('a command that was replaced by another one is not answered with its result', async () => {
+    const { node, stubs } = await startLeader();
     await cluster.until(() => statusOf(node).vouched, 10_000);
     const { commitIndex, term, replicaId, configuration } = statusOf(node);
     for (const stub of stubs) stub.syncedLimit = commitIndex;
@@ -229,16 +220,14 @@
     expect(node.recorder.commands).toEqual(['other']);
   });
 
-  test('a change of replicas waits for the one before', async () => {
-    // Symptom: as above, with one leader.
-    // Sequence: two replicas are to be added; the first change is not committed yet.
-    // Cause: two single steps at once are a change by two, whose quorums need not meet.
-    const { node, stubs } = await led();
+  // Guards against disjoint quorums made by one leader: two single-step changes at once are a change by two voters.
+  test('a membership change waits for the previous one', async () => {
+    const { node, stubs } = await startLeader();
     await cluster.until(() => statusOf(node).vouched, 10_000);
     for (const stub of stubs) stub.syncedLimit = statusOf(node).commitIndex;
     for (const name of ['d', 'e']) new StubReplica(name, cluster.network);
-    const wanted = ['a', 'b', 'c', 'd', 'e'].map((name) => ({ name, address: name }));
-    void node.replica?.changeReplicas(wanted);
+    const desired = ['a', 'b', 'c', 'd', 'e'].map((name) => ({ name, address: name }));
+    void node.replica?.changeReplicas(desired);
     await cluster.clock.advance(3_000);
     expect(names(node)).toHaveLength(4);
     for (const stub of stubs) stub.syncedLimit = 1_000n;
@@ -246,11 +235,10 @@
     expect(statusOf(node).configuration?.voters).toHaveLength(5);
   });
 
-  test("answers of another replica under a voter's name count for nothing", async () => {
-    // Symptom: a command counts as accepted on a disk that has lost what it held before.
-    // Sequence: both other disks are replaced by empty ones that consent to everything.
-    // Cause: votes and confirmations taken by name.
-    const { node } = await led();
+  // Guards against votes and acknowledgements that are counted by name: a command would be committed on empty disks that
+  // replaced the old ones.
+  test("answers of another replica under a voter's name do not count", async () => {
+    const { node } = await startLeader();
     await cluster.until(() => statusOf(node).vouched, 10_000);
     const { commitIndex } = statusOf(node);
     for (const name of ['b', 'c']) new StubReplica(name, cluster.network, `other-${name}`);
