--- a/packages/coordination/src/agreement/progress.ts
+++ b/packages/coordination/src/agreement/progress.ts
@@ -24,9 +24,9 @@
   expectedArrival = -Infinity;
   /** Incremented when `next` moves back, so that answers to earlier messages don't move it back again. */
   round = 0;
-  /** Send time of the newest message that it answered; -Infinity if none. */
+  /** Time at which the newest answered message was sent; -Infinity if none. */
   lastAnsweredSentAt = -Infinity;
-  /** The same, starting at the time when this leader began replicating to it. */
+  /** Time of the last contact: `lastAnsweredSentAt`, or the start of the replication if that is later. */
   lastContactAt: number;
   /** Time at which the last message was sent. */
   sentAt = -Infinity;
--- a/packages/coordination/src/agreement/replicatedLog.ts
+++ b/packages/coordination/src/agreement/replicatedLog.ts
@@ -127,12 +127,12 @@
   start(address: string): Promise<void> {
     this.replica.address = address;
     this.tasks = Promise.all([
-      this.task(this.applier.run()),
-      this.task(this.joining.run()),
-      this.task(this.election.run()),
-      this.task(this.contact.run()),
+      this.supervise(this.applier.run()),
+      this.supervise(this.joining.run()),
+      this.supervise(this.election.run()),
+      this.supervise(this.contact.run()),
     ]);
-    void this.task(this.proposing.probeLeader());
+    void this.supervise(this.proposing.probeLeader());
     return Promise.resolve();
   }
 
@@ -194,7 +194,7 @@
     if (!desired.every(hasAddress))
       return err(fault('invalid-request', 'a replica needs a name and an address'));
     this.reconfiguration.setDesired(desired);
-    return this.changed(() => this.reconfiguration.isDone());
+    return this.waitForChange(() => this.reconfiguration.isDone());
   }
 
   /** Voters and learners of the newest configuration in the log. */
@@ -209,9 +209,9 @@
   async enlist(added: ReplicaAddress): Promise<Result<void, Fault>> {
     if (!hasAddress(added)) return err(fault('invalid-request', 'a replica needs a name and an address'));
     this.reconfiguration.add(added);
-    const waitForChange = await this.changed(() => this.reconfiguration.isVoter(added));
+    const changed = await this.waitForChange(() => this.reconfiguration.isVoter(added));
     this.reconfiguration.cancelAdd(added);
-    return waitForChange;
+    return changed;
   }
 
   /** Queries the status of all replicas; those without an answer are marked unreachable. */
@@ -245,7 +245,7 @@
   }
 
   /** Waits until the leader's task has completed a membership change. */
-  private async changed(isDone: () => boolean): Promise<Result<void, Fault>> {
+  private async waitForChange(isDone: () => boolean): Promise<Result<void, Fault>> {
     const { replica } = this;
     const deadline = replica.clock.monotonic() + replica.tuning.changeTimeoutMs;
     while (!isDone()) {
@@ -279,8 +279,8 @@
     const onDeposed = (): void => {
       this.election.campaignImmediately();
     };
-    const startTask = (supervise: Promise<void>): void => {
-      void this.task(supervise);
+    const startTask = (task: Promise<void>): void => {
+      void this.supervise(task);
     };
     const leadership = new Leadership({ replica, peers, waiters, snapshot, onDeposed, startTask }, term);
     const isLeader = await replica.exclusive(() => {
@@ -292,12 +292,12 @@
     });
     if (!isLeader) return;
     replica.changed.notify();
-    void this.task(leadership.run());
-    void this.task(this.reconfiguration.run(leadership));
+    void this.supervise(leadership.run());
+    void this.supervise(this.reconfiguration.run(leadership));
   }
 
   /** Logs an unexpected error of a task and stops the replica, which must not continue without the task. */
-  private async task(running: Promise<void>): Promise<void> {
+  private async supervise(running: Promise<void>): Promise<void> {
     try {
       await running;
     } catch (error) {
