--- a/packages/routing/src/policy/weighing.ts
+++ b/packages/routing/src/policy/lowestCost.ts
@@ -3,10 +3,10 @@
  * prompt's prefix is probed first; when it has the prefix cached and a short queue, no other target is probed.
  */
 import { BLOCK_TOKENS, levelsOf } from '../prefix/index.js';
-import { CostModel } from './costs.js';
-import type { CostOptions } from './costs.js';
+import { CostModel } from './costModel.js';
+import type { CostOptions } from './costModel.js';
 import { prefillMs } from './estimate.js';
-import { InFlightPrefills } from './flights.js';
+import { InFlightPrefills } from './inFlightPrefills.js';
 import { HomeCounts } from './homeCounts.js';
 import { LastLoads } from './lastLoads.js';
 import { probedEstimate, historyEstimate } from './targetEstimate.js';
--- a/packages/routing/src/policy/registry.ts
+++ b/packages/routing/src/policy/registry.ts
@@ -6,8 +6,8 @@
 import { RendezvousProbe } from './rendezvousProbe.js';
 import { Rendezvous } from './rendezvous.js';
 import { RoundRobin } from './roundRobin.js';
-import { LowestCost } from './weighing.js';
-import type { LowestCostOptions } from './weighing.js';
+import { LowestCost } from './lowestCost.js';
+import type { LowestCostOptions } from './lowestCost.js';
 
 /** Second version of the default: takes queues into account and uses past observations. */
 const v2: LowestCostOptions = {
--- a/packages/routing/src/policy/targetEstimate.ts
+++ b/packages/routing/src/policy/targetEstimate.ts
@@ -1,7 +1,7 @@
 /** Estimates of what a prompt would take at a target: from a probe, or from past observations when it timed out. */
 import { BLOCK_TOKENS, levelsOf } from '../prefix/index.js';
 import { ASSUMED_PREFILL_RATE, prefillMs } from './estimate.js';
-import type { InFlightPrefills } from './flights.js';
+import type { InFlightPrefills } from './inFlightPrefills.js';
 import type { LastLoads } from './lastLoads.js';
 import type { Candidate, Job, Load, PolicyContext, ProbeReading } from './policy.js';
 import type { PrefixHints } from './prefixHints.js';
