--- a/packages/agent/src/gate/workload.ts
+++ b/packages/agent/src/gate/workload.ts
@@ -3,7 +3,7 @@
 import { fault } from '@jasmineroute/core';
 import type { Clock, Fault } from '@jasmineroute/core';
 import { gateMessage } from '@jasmineroute/protocol';
-import { BLOCK_TOKENS, PREFILLS_AT_ONCE, PrefillTurns, decodeChain } from '@jasmineroute/routing';
+import { BLOCK_TOKENS, MAX_CONCURRENT_PREFILLS, PrefillTurns, decodeChain } from '@jasmineroute/routing';
 import type { BlockIndex } from '@jasmineroute/routing';
 import { LoadMeter, Slots } from '../load/index.js';
 import type { GateTarget } from './target.js';
@@ -32,7 +32,7 @@
     this.turns = new PrefillTurns({
       clock,
       cachedBlocks: (chain) => index.likelyPrefix(chain),
-      atOnce: PREFILLS_AT_ONCE,
+      maxConcurrent: MAX_CONCURRENT_PREFILLS,
     });
   }
 
--- a/packages/agent/src/run/engineCall.ts
+++ b/packages/agent/src/run/engineCall.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import { carrierOf, endHop, fault, startHop } from '@jasmineroute/core';
 import type { Fault, HopSpan } from '@jasmineroute/core';
-import { broken } from '@jasmineroute/engine';
+import { brokenStreamFault } from '@jasmineroute/engine';
 import type { EngineAnswer, EngineRequest, Usage } from '@jasmineroute/engine';
 import { gateMessage } from '@jasmineroute/protocol';
 import { err, ok } from 'neverthrow';
@@ -110,7 +110,7 @@
       }
       return undefined;
     } catch (error) {
-      return reasonOf(signal, broken(error));
+      return reasonOf(signal, brokenStreamFault(error));
     }
   }
 
--- a/packages/agent/src/watch/cacheWatch.ts
+++ b/packages/agent/src/watch/cacheWatch.ts
@@ -3,7 +3,7 @@
  * index vouches for nothing older, goes on with what comes, and is read anew when the next snapshot is due.
  */
 import type { Cancellation, Clock, Fault, Log, Metrics } from '@jasmineroute/core';
-import { broken } from '@jasmineroute/engine';
+import { brokenStreamFault } from '@jasmineroute/engine';
 import type { Engine } from '@jasmineroute/engine';
 import type { Applied, BlockIndex } from '@jasmineroute/routing';
 import { err, ok } from 'neverthrow';
@@ -65,11 +65,11 @@
     });
     const snapshot = await engine.cacheSnapshot?.(AbortSignal.any([signal, bound.signal]));
     calledOff();
-    if (snapshot === undefined) return err(broken(new Error('the engine has no snapshots')));
+    if (snapshot === undefined) return err(brokenStreamFault(new Error('the engine has no snapshots')));
     if (snapshot.isErr()) return err(snapshot.error);
     if (!index.restore(snapshot.value)) {
       onUnknown();
-      return err(broken(new Error('the snapshot is of another incarnation')));
+      return err(brokenStreamFault(new Error('the snapshot is of another incarnation')));
     }
     log.event(agentEvents.cacheSynchronised, { sequence: index.sequence, ...index.counts() });
     return ok();
@@ -92,9 +92,9 @@
         });
         this.nextSnapshot = Math.max(clock.monotonic(), this.nextSnapshot) + SNAPSHOT_INTERVAL_MS;
       }
-      return broken(new Error('the stream of cache events ended'));
+      return brokenStreamFault(new Error('the stream of cache events ended'));
     } catch (error) {
-      return broken(error);
+      return brokenStreamFault(error);
     } finally {
       calledOff?.();
     }
--- a/packages/control/src/bench/followers.ts
+++ b/packages/control/src/bench/followers.ts
@@ -4,7 +4,7 @@
 import { controlMessage } from '@jasmineroute/protocol';
 import { LocalLog } from '../fixture/index.js';
 import { FollowService, OtherControls } from '../follow/index.js';
-import { RecentBoard } from '../recent/index.js';
+import { RecentReports } from '../recent/index.js';
 import { createState } from '../role/createState.js';
 import { RelayedTargets, TargetBook } from '../targets/index.js';
 
@@ -31,8 +31,8 @@
 /** Boards of one instance, all of whose entries follow it. */
 function setUp() {
   const { configuration, machine } = createState();
-  const loads = new RecentBoard<controlMessage.TargetLoad>(systemClock);
-  const work = new RecentBoard<controlMessage.EntryWork>(systemClock);
+  const loads = new RecentReports<controlMessage.TargetLoad>(systemClock);
+  const work = new RecentReports<controlMessage.EntryWork>(systemClock);
   const relayed = new RelayedTargets(systemClock);
   const ended = new AbortController();
   const service = new FollowService({
@@ -78,8 +78,8 @@
   round: number,
   names: readonly string[],
   targets: number,
-  loads: RecentBoard<controlMessage.TargetLoad>,
-  work: RecentBoard<controlMessage.EntryWork>,
+  loads: RecentReports<controlMessage.TargetLoad>,
+  work: RecentReports<controlMessage.EntryWork>,
 ): void {
   for (let at = 0; at < targets; at += 1) {
     const targetId = `i-${at.toString().padStart(10, '0')}`;
--- a/packages/control/src/claims/claimState.spec.ts
+++ b/packages/control/src/claims/claimState.spec.ts
@@ -138,7 +138,7 @@
     claim('two');
     advance(state.machine, MIN_OPEN_CLAIM_MS + 40_000);
     expect(state.claims.size()).toBe(0);
-    expect(state.machine.expectsTime()).toBe(false);
+    expect(state.machine.hasPendingExpiry()).toBe(false);
   });
 
   it('refuses new claims when the table is full and evicts none', () => {
--- a/packages/control/src/claims/claimState.ts
+++ b/packages/control/src/claims/claimState.ts
@@ -81,7 +81,7 @@
     return this.settled.bytes() + this.answers.bytes();
   }
 
-  advanced(now: LogTime): void {
+  advanceTo(now: LogTime): void {
     if (expiryUnitOf(now) === this.expiryUnit) return;
     this.expiryUnit = expiryUnitOf(now);
     this.open.removeExpired(now);
@@ -89,7 +89,7 @@
     this.answers.removeExpired(now);
   }
 
-  expectsTime(): boolean {
+  hasPendingExpiry(): boolean {
     return this.size() > 0;
   }
 
--- a/packages/control/src/configuration/configurationState.ts
+++ b/packages/control/src/configuration/configurationState.ts
@@ -84,11 +84,11 @@
     return () => this.listeners.delete(listener);
   }
 
-  advanced(): void {
+  advanceTo(): void {
     // Configurations don't expire.
   }
 
-  expectsTime(): boolean {
+  hasPendingExpiry(): boolean {
     return false;
   }
 
--- a/packages/control/src/documents/documentState.ts
+++ b/packages/control/src/documents/documentState.ts
@@ -73,11 +73,11 @@
     return () => this.listeners.delete(listener);
   }
 
-  advanced(): void {
+  advanceTo(): void {
     // Documents don't expire.
   }
 
-  expectsTime(): boolean {
+  hasPendingExpiry(): boolean {
     return false;
   }
 
--- a/packages/control/src/events.ts
+++ b/packages/control/src/events.ts
@@ -46,15 +46,19 @@
   configurationRead: { id: 3031, level: 'info', message: 'the configuration was read back' },
   weightsNamed: { id: 3016, level: 'info', message: 'new version of weights named' },
   targetAnnounced: { id: 3017, level: 'info', message: 'a target changed its state' },
-  followed: { id: 3018, level: 'info', message: 'a follower opened its stream' },
-  enlisted: { id: 3019, level: 'info', message: 'an instance requested to become a voter' },
-  enlisting: { id: 3020, level: 'info', message: 'the answer to the request to become a voter changed' },
-  enlistUnanswered: {
+  followerConnected: { id: 3018, level: 'info', message: 'a follower opened its stream' },
+  voterRequested: { id: 3019, level: 'info', message: 'an instance requested to become a voter' },
+  voterRequestAnswered: {
+    id: 3020,
+    level: 'info',
+    message: 'the answer to the request to become a voter changed',
+  },
+  voterRequestUnanswered: {
     id: 3021,
     level: 'info',
     message: 'a control instance no longer answers the request to become a voter',
   },
-  reportsEnded: { id: 3029, level: 'debug', message: "a process's report stream ended" },
+  reportStreamEnded: { id: 3029, level: 'debug', message: "a process's report stream ended" },
   storeUnreachable: { id: 3022, level: 'warn', message: 'a cache store does not answer' },
   storeRecovered: { id: 3023, level: 'info', message: 'a cache store answers again' },
   unreadableCall: { id: 3024, level: 'warn', message: "a target's call could not be parsed" },
@@ -68,7 +72,7 @@
     level: 'info',
     message: 'listed the whole content of a cache store because events were lost',
   },
-  withoutDisk: {
+  startedWithoutDisk: {
     id: 3028,
     level: 'warn',
     message: 'no data folder: this instance runs as a standby without a vote',
--- a/packages/control/src/follow/enlisting.spec.ts
+++ b/packages/control/src/follow/enlisting.spec.ts
@@ -111,7 +111,10 @@
     const { peers, lines, round, end } = asking();
     peers.leaders.set(ANSWERS, '');
     for (let rounds = 0; rounds < 5; rounds += 1) await round(2);
-    const [unanswered, answered] = [controlEvents.enlistUnanswered.id, controlEvents.enlisting.id];
+    const [unanswered, answered] = [
+      controlEvents.voterRequestUnanswered.id,
+      controlEvents.voterRequestAnswered.id,
+    ];
     expect(lines).toHaveLength(2);
     expect(lines).toEqual(
       expect.arrayContaining([
--- a/packages/control/src/follow/enlisting.ts
+++ b/packages/control/src/follow/enlisting.ts
@@ -82,10 +82,10 @@
     const client = createClient(controlMessage.Configurations, peers.transport(asked));
     try {
       const { leader } = await client.enlist({ name, address }, { timeoutMs: CALL_MS });
-      this.logOnce(asked, controlEvents.enlisting, { leader });
+      this.logOnce(asked, controlEvents.voterRequestAnswered, { leader });
       return leader;
     } catch (error) {
-      this.logOnce(asked, controlEvents.enlistUnanswered, { problem: String(error) });
+      this.logOnce(asked, controlEvents.voterRequestUnanswered, { problem: String(error) });
       return '';
     }
   }
--- a/packages/control/src/follow/follow.spec.ts
+++ b/packages/control/src/follow/follow.spec.ts
@@ -2,7 +2,7 @@
 import type { MessageInitShape } from '@bufbuild/protobuf';
 import { coordinationEvents } from '@jasmineroute/coordination';
 import type { Log } from '@jasmineroute/core';
-import { readShared } from '@jasmineroute/knowledge';
+import { readSharedEvents } from '@jasmineroute/knowledge';
 import { controlMessage } from '@jasmineroute/protocol';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import * as z from 'zod';
@@ -47,7 +47,7 @@
       const request = { number: 0n, name: 'e1', role: 'entry' };
       for await (const event of client.follow(request, { signal: stopped.signal })) {
         if (event.content.length > 0) heard.numbers.push(Number(event.number));
-        for (const { id, announcement } of readShared(event).flatMap(({ targets }) => targets)) {
+        for (const { id, announcement } of readSharedEvents(event).flatMap(({ targets }) => targets)) {
           heard.targets.push(`${id} ${controlMessage.Announcement[announcement]}`);
         }
       }
@@ -102,7 +102,7 @@
       const client = cluster.clientOf(controlMessage.Configurations, second);
       const request = { number: 0n, name, role: 'entry', bulk: true };
       for await (const event of client.follow(request, { signal: stopped.signal })) {
-        for (const { targets } of readShared(event).flatMap(({ work }) => work))
+        for (const { targets } of readSharedEvents(event).flatMap(({ work }) => work))
           for (const { targetId, tokens } of targets) heard.push(`${name} ${targetId} ${tokens}`);
       }
     };
@@ -130,7 +130,7 @@
       const read = async (): Promise<void> => {
         const request = { number: 0n, name: 'e1', role: 'entry', bulk: true };
         for await (const event of client.follow(request, { signal: stopped.signal })) {
-          for (const { cached } of readShared(event)) {
+          for (const { cached } of readSharedEvents(event)) {
             for (const key of cached?.dropped ?? []) keys.delete(key);
             for (const key of cached?.added ?? []) keys.add(key);
           }
@@ -160,7 +160,7 @@
     const read = async (): Promise<void> => {
       const request = { number: 0n, name: 'e1', role: 'entry' };
       for await (const event of client.follow(request, { signal: stopped.signal })) {
-        const shared = readShared(event);
+        const shared = readSharedEvents(event);
         for (const { heard: controls } of shared) sources = controls?.controls ?? sources;
         const own = shared.flatMap(({ targets }) => ({ control: first.address, targets }));
         const others = shared.flatMap(({ relayed }) => relayed);
--- a/packages/control/src/follow/followService.spec.ts
+++ b/packages/control/src/follow/followService.spec.ts
@@ -3,7 +3,7 @@
 import { controlMessage } from '@jasmineroute/protocol';
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { LocalLog, applyOne } from '../fixture/index.js';
-import { RecentBoard } from '../recent/index.js';
+import { RecentReports } from '../recent/index.js';
 import { createState } from '../role/createState.js';
 import type { ControlState } from '../state/index.js';
 import { RelayedTargets, TargetBook } from '../targets/index.js';
@@ -25,8 +25,8 @@
   ({ machine } = state);
   commandLog = new LocalLog(machine);
   const boards = {
-    loads: new RecentBoard<controlMessage.TargetLoad>(systemClock),
-    work: new RecentBoard<controlMessage.EntryWork>(systemClock),
+    loads: new RecentReports<controlMessage.TargetLoad>(systemClock),
+    work: new RecentReports<controlMessage.EntryWork>(systemClock),
   };
   const relayed = new RelayedTargets(systemClock);
   const vouched = (): boolean => true;
--- a/packages/control/src/follow/followService.ts
+++ b/packages/control/src/follow/followService.ts
@@ -4,7 +4,7 @@
 import { controlMessage } from '@jasmineroute/protocol';
 import { controlEvents } from '../events.js';
 import { isCaughtUp } from '../log/index.js';
-import { Gathering } from '../recent/index.js';
+import { Coalescer } from '../recent/index.js';
 import { Bulletins } from './bulletins.js';
 import { FollowerPlace, shareOf } from './followerPlace.js';
 import type { FollowSources } from './followSources.js';
@@ -98,8 +98,9 @@
     const { loads, own, bulk, spare } = this.news;
     const quick = [loads, own, bulk].map((news) => this.gathering(GATHER_TARGETS_MS, news));
     const slow = this.gathering(GATHER_SPARE_MS, spare);
-    for (const gathering of [...quick, slow]) targets.onChange(gathering.note);
-    for (const gathering of [this.gathering(GATHER_TARGETS_MS, bulk), slow]) relayed.onChange(gathering.note);
+    for (const gathering of [...quick, slow]) targets.onChange(gathering.recordChange);
+    for (const gathering of [this.gathering(GATHER_TARGETS_MS, bulk), slow])
+      relayed.onChange(gathering.recordChange);
   }
 
   private gatherBulk(): void {
@@ -108,18 +109,18 @@
     const quick = this.gathering(GATHER_WORK_MS, news.bulk);
     const slow = this.gathering(GATHER_WORK_MS, news.bulk, GATHER_LOADS_MS);
     const own = this.gathering(GATHER_WORK_MS, news.own, GATHER_OWN_MS);
-    const ownLoads = new Gathering(clock, () => GATHER_OWN_LOADS_MS, news.loads.raise);
-    work.onChange(quick.note);
-    work.onChange(own.note);
-    for (const gathering of [slow, own, ownLoads]) loads.onChange(gathering.note);
-    for (const gathering of [slow, own]) this.intake.onCached(gathering.note);
-    others.onCached(slow.note);
+    const ownLoads = new Coalescer(clock, () => GATHER_OWN_LOADS_MS, news.loads.raise);
+    work.onChange(quick.recordChange);
+    work.onChange(own.recordChange);
+    for (const gathering of [slow, own, ownLoads]) loads.onChange(gathering.recordChange);
+    for (const gathering of [slow, own]) this.intake.onCached(gathering.recordChange);
+    others.onCached(slow.recordChange);
   }
 
   /** Gathers for a time that grows with the number of entries, milliseconds, and for `leastMs` at least. */
-  private gathering(ms: number, news: News, leastMs = 0): Gathering {
+  private gathering(ms: number, news: News, leastMs = 0): Coalescer {
     const times = (): number => Math.max(1, Math.ceil(this.allEntries() / ENTRIES_AT_ONCE));
-    return new Gathering(this.sources.clock, () => Math.max(leastMs, ms * times()), news.raise);
+    return new Coalescer(this.sources.clock, () => Math.max(leastMs, ms * times()), news.raise);
   }
 
   /** Entries that serve now, as far as the instances that are heard know. */
@@ -142,7 +143,11 @@
     if (isGone()) return;
     const follower = new FollowerPlace(this.sources, this.intake.cached, request, this.shared[share]);
     const news = this.news[share];
-    log.event(controlEvents.followed, { follower: request.name, share, number: Number(request.number) });
+    log.event(controlEvents.followerConnected, {
+      follower: request.name,
+      share,
+      number: Number(request.number),
+    });
     if (share === 'bulk') this.count(request.name, 1);
     try {
       while (!isGone()) {
@@ -196,7 +201,7 @@
     const status = commandLog.status();
     const members = commandLog.members();
     if (status.state === 'leader') {
-      log.event(controlEvents.enlisted, { instance: request.name, address: request.address });
+      log.event(controlEvents.voterRequested, { instance: request.name, address: request.address });
       void commandLog.enlist({ name: request.name, address: request.address });
       return create(controlMessage.EnlistResponseSchema, {});
     }
--- a/packages/control/src/follow/followerPlace.ts
+++ b/packages/control/src/follow/followerPlace.ts
@@ -98,19 +98,19 @@
 
   private ownLoads(): EventFields {
     const { targets, loads } = this.sources;
-    const fields = { targets: targets.since(this.targetPlace), loads: loads.ownSince(this.loadPlace) };
+    const fields = { targets: targets.since(this.targetPlace), loads: loads.directSince(this.loadPlace) };
     this.targetPlace = targets.place();
-    this.loadPlace = loads.place();
+    this.loadPlace = loads.lastSequenceNumber();
     return fields;
   }
 
   private ownWork(): EventFields {
     const { work } = this.sources;
     const fields = {
-      work: work.ownSince(this.workPlace),
+      work: work.directSince(this.workPlace),
       cached: changesOf(this.ownCached, this.cachedPlace),
     };
-    this.workPlace = work.place();
+    this.workPlace = work.lastSequenceNumber();
     this.cachedPlace = this.ownCached.place();
     return fields;
   }
--- a/packages/control/src/follow/otherControls.ts
+++ b/packages/control/src/follow/otherControls.ts
@@ -3,7 +3,7 @@
 import type { Listener } from '@jasmineroute/knowledge';
 import { KeptParts } from '@jasmineroute/protocol';
 import type { controlMessage } from '@jasmineroute/protocol';
-import type { RecentBoard } from '../recent/index.js';
+import type { RecentReports } from '../recent/index.js';
 import type { RelayedTargets } from '../targets/index.js';
 
 /**
@@ -16,9 +16,9 @@
 export interface OtherControlsParts {
   readonly relayed: RelayedTargets;
   /** Loads of targets, by their ids. */
-  readonly loads: RecentBoard<controlMessage.TargetLoad>;
+  readonly loads: RecentReports<controlMessage.TargetLoad>;
   /** Work of entries, by their names. */
-  readonly work: RecentBoard<controlMessage.EntryWork>;
+  readonly work: RecentReports<controlMessage.EntryWork>;
   /** Whether this instance is in contact with a quorum. */
   readonly vouched: () => boolean;
   readonly clock: Clock;
--- a/packages/control/src/follow/referral.ts
+++ b/packages/control/src/follow/referral.ts
@@ -25,7 +25,7 @@
   private readonly follower: Follower;
 
   constructor(parts: ReferralParts) {
-    this.follower = new Follower({ ...parts, role: 'agent', listener: nothing, most: 1 });
+    this.follower = new Follower({ ...parts, role: 'agent', listener: nothing, maxFollowed: 1 });
   }
 
   start(): void {
--- a/packages/control/src/follow/reportIntake.ts
+++ b/packages/control/src/follow/reportIntake.ts
@@ -5,7 +5,7 @@
 import { KeptParts, controlMessage } from '@jasmineroute/protocol';
 import { match } from 'ts-pattern';
 import { controlEvents } from '../events.js';
-import type { RecentBoard } from '../recent/index.js';
+import type { RecentReports } from '../recent/index.js';
 
 /** Time between two beats, milliseconds: how a sender knows that it is still heard. */
 const BEAT_MS = 500;
@@ -16,9 +16,9 @@
 /** Where reports go. */
 export interface ReportBoards {
   /** Loads of targets, by their ids. */
-  readonly loads: RecentBoard<controlMessage.TargetLoad>;
+  readonly loads: RecentReports<controlMessage.TargetLoad>;
   /** Work of entries, by their names. */
-  readonly work: RecentBoard<controlMessage.EntryWork>;
+  readonly work: RecentReports<controlMessage.EntryWork>;
   readonly clock: Clock;
   readonly log: Log;
   /** Aborted when this process stops: streams end, and senders go on with the other instances. */
@@ -66,7 +66,7 @@
       for await (const { report } of requests) this.apply(report);
     } catch (error) {
       // A sender that ends or is cut off needs nothing from here: its reports grow old by themselves.
-      this.boards.log.event(controlEvents.reportsEnded, { problem: String(error) });
+      this.boards.log.event(controlEvents.reportStreamEnded, { problem: String(error) });
     }
   }
 
--- a/packages/control/src/follow/sharedFields.ts
+++ b/packages/control/src/follow/sharedFields.ts
@@ -77,7 +77,7 @@
       cached: changesOf(others.cached, this.cachedPlace),
       kept: kept === undefined ? undefined : changesOf(kept, this.keptPlace),
     };
-    this.loadPlace = loads.place();
+    this.loadPlace = loads.lastSequenceNumber();
     this.cachedPlace = others.cached.place();
     this.keptPlace = kept?.place() ?? 0;
     return fields;
@@ -86,8 +86,8 @@
   /** One sum for each target: what single entries have there would be as many times as much. */
   private work(): controlMessage.EntryWork[] {
     const { work } = this.sources;
-    if (work.place() === this.workPlace) return [];
-    this.workPlace = work.place();
+    if (work.lastSequenceNumber() === this.workPlace) return [];
+    this.workPlace = work.lastSequenceNumber();
     const recent = work.within(WORK_LASTS_MS);
     this.summed = new Map(recent.map((told) => [told.entry, told]));
     const sums = new Map<string, number>();
--- a/packages/control/src/recent/gathering.spec.ts
+++ b/packages/control/src/recent/gathering.spec.ts
@@ -1,25 +1,25 @@
 import { ManualClock } from '@jasmineroute/core';
 import { describe, expect, it } from 'vitest';
-import { Gathering } from './gathering.js';
+import { Coalescer } from './gathering.js';
 
 describe('coalescing of changes', () => {
   it('calls back once for all changes within its delay', async () => {
     const clock = new ManualClock();
     let callbacks = 0;
-    const coalescer = new Gathering(
+    const coalescer = new Coalescer(
       clock,
       () => 150,
       () => {
         callbacks += 1;
       },
     );
-    for (let change = 0; change < 3; change += 1) coalescer.note();
+    for (let change = 0; change < 3; change += 1) coalescer.recordChange();
     expect(callbacks).toBe(0);
     await clock.advance(150);
     expect(callbacks).toBe(1);
     await clock.advance(1_000);
     expect(callbacks).toBe(1);
-    coalescer.note();
+    coalescer.recordChange();
     await clock.advance(150);
     expect(callbacks).toBe(2);
   });
@@ -29,7 +29,7 @@
     // times a second, and each event goes to all of them.
     const clock = new ManualClock();
     let callbacks = 0;
-    const coalescer = new Gathering(
+    const coalescer = new Coalescer(
       clock,
       () => 100,
       () => {
@@ -37,7 +37,7 @@
       },
     );
     for (let step = 0; step < 100; step += 1) {
-      for (let entry = 0; entry < 32; entry += 1) coalescer.note();
+      for (let entry = 0; entry < 32; entry += 1) coalescer.recordChange();
       await clock.advance(10);
     }
     expect(callbacks).toBeLessThanOrEqual(10);
--- a/packages/control/src/recent/gathering.ts
+++ b/packages/control/src/recent/gathering.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '@jasmineroute/core';
 
 /** Calls back once for all changes within a delay after the first one. */
-export class Gathering {
+export class Coalescer {
   private isScheduled = false;
 
   /** @param ms the delay after the first change, milliseconds. */
@@ -13,7 +13,7 @@
   ) {}
 
   /** Records a change. */
-  readonly note = (): void => {
+  readonly recordChange = (): void => {
     if (this.isScheduled) return;
     this.isScheduled = true;
     this.clock.after(this.ms(), () => {
--- a/packages/control/src/recent/recentBoard.spec.ts
+++ b/packages/control/src/recent/recentBoard.spec.ts
@@ -2,15 +2,15 @@
 import { ManualClock } from '@jasmineroute/core';
 import { controlMessage } from '@jasmineroute/protocol';
 import { describe, expect, it } from 'vitest';
-import { RecentBoard } from './recentBoard.js';
+import { RecentReports } from './recentBoard.js';
 
 const load = (targetId: string, running: number): controlMessage.TargetLoad =>
   create(controlMessage.TargetLoadSchema, { targetId, running, waiting: 0 });
 
 describe('board of recent reports', () => {
-  const setUp = (): { clock: ManualClock; board: RecentBoard<controlMessage.TargetLoad> } => {
+  const setUp = (): { clock: ManualClock; board: RecentReports<controlMessage.TargetLoad> } => {
     const clock = new ManualClock();
-    return { clock, board: new RecentBoard<controlMessage.TargetLoad>(clock) };
+    return { clock, board: new RecentReports<controlMessage.TargetLoad>(clock) };
   };
   const summary = (loads: readonly controlMessage.TargetLoad[]): [string, number][] =>
     loads.map(({ targetId, running }) => [targetId, running]);
@@ -24,7 +24,7 @@
       ['b', 2],
       ['a', 3],
     ]);
-    expect(board.since(board.place())).toEqual([]);
+    expect(board.since(board.lastSequenceNumber())).toEqual([]);
   });
 
   it('passes on to other instances only reports that were sent to it directly', () => {
@@ -33,9 +33,9 @@
     const { board } = setUp();
     board.take('a', load('a', 1));
     board.take('b', load('b', 2), false);
-    expect(summary(board.ownSince(0))).toEqual([['a', 1]]);
+    expect(summary(board.directSince(0))).toEqual([['a', 1]]);
     board.take('a', load('a', 3), false);
-    expect(board.ownSince(0)).toEqual([]);
+    expect(board.directSince(0)).toEqual([]);
     expect(summary(board.since(0))).toEqual([
       ['b', 2],
       ['a', 3],
--- a/packages/control/src/recent/recentBoard.ts
+++ b/packages/control/src/recent/recentBoard.ts
@@ -12,7 +12,7 @@
 }
 
 /** The last report under each key. Held in memory only. */
-export class RecentBoard<Report> {
+export class RecentReports<Report> {
   private readonly entries = new Map<string, Entry<Report>>();
   private readonly listeners = new Set<() => void>();
   private lastSequence = 0;
@@ -20,7 +20,7 @@
   constructor(private readonly clock: Clock) {}
 
   /** Sequence number of the newest report. */
-  place(): number {
+  lastSequenceNumber(): number {
     return this.lastSequence;
   }
 
@@ -30,7 +30,7 @@
   }
 
   /** Reports after a sequence number that were sent directly to this instance. */
-  ownSince(sequence: number): Report[] {
+  directSince(sequence: number): Report[] {
     return this.after(sequence)
       .filter(({ isDirect }) => isDirect)
       .map(({ report }) => report);
--- a/packages/control/src/replicas/replicaReconciler.spec.ts
+++ b/packages/control/src/replicas/replicaReconciler.spec.ts
@@ -5,19 +5,19 @@
 import { LocalLog, applyOne, controlText } from '../fixture/index.js';
 import { createState } from '../role/index.js';
 import type { StateParts } from '../role/index.js';
-import { ReplicaKeeper } from './replicaReconciler.js';
+import { ReplicaReconciler } from './replicaReconciler.js';
 
 describe('reconciliation of the replicas', () => {
   let clock: ManualClock;
   let state: StateParts;
   let log: LocalLog;
-  let keeper: ReplicaKeeper;
+  let keeper: ReplicaReconciler;
 
   beforeEach(() => {
     clock = new ManualClock();
     state = createState();
     log = new LocalLog(state.machine);
-    keeper = new ReplicaKeeper(new DocumentView(state.documents, silentLog), log, clock, silentLog);
+    keeper = new ReplicaReconciler(new DocumentView(state.documents, silentLog), log, clock, silentLog);
   });
 
   const accept = (replicas: readonly string[], baseVersion: bigint): void => {
@@ -56,10 +56,10 @@
     // change.
     accept(['c1=10.0.0.1:1', 'c2=10.0.0.9:1'], 0n);
     log.hangChanges = true;
-    keeper.look();
+    keeper.reconcile();
     accept(['c1=10.0.0.1:1', 'c2=10.0.0.2:1'], 1n);
-    keeper.look();
-    keeper.look();
+    keeper.reconcile();
+    keeper.reconcile();
     await clock.advance(0);
     expect(log.changes.map((wanted) => wanted[1]?.address)).toEqual(['10.0.0.9:1', '10.0.0.2:1']);
   });
--- a/packages/control/src/replicas/replicaReconciler.ts
+++ b/packages/control/src/replicas/replicaReconciler.ts
@@ -15,7 +15,7 @@
  * the middle of a change, and any replica may lead next. A former leader that still held an older list would otherwise
  * restore that list.
  */
-export class ReplicaKeeper {
+export class ReplicaReconciler {
   private readonly abort = new AbortController();
   private pendingChange = '';
   private lastApplied = '';
@@ -31,7 +31,7 @@
   async run(): Promise<void> {
     const { signal } = this.abort;
     for (;;) {
-      this.look();
+      this.reconcile();
       await this.clock.sleep(RECONCILE_INTERVAL_MS, signal).catch(() => undefined);
       if (signal.aborted) return;
     }
@@ -42,8 +42,8 @@
   }
 
   /** Requests a change to the wanted replicas, unless that change is in progress already. */
-  look(): void {
-    const wanted = replicasOf(this.view);
+  reconcile(): void {
+    const wanted = configuredReplicas(this.view);
     if (wanted === undefined) return;
     const text = wanted.map(({ name, address }) => `${name}=${address}`).join(',');
     if (this.pendingChange !== text) void this.change(wanted, text);
@@ -68,7 +68,7 @@
 }
 
 /** The replicas of the control document in force; undefined when there is none. */
-export function replicasOf(view: DocumentView): ReplicaAddress[] | undefined {
+export function configuredReplicas(view: DocumentView): ReplicaAddress[] | undefined {
   const found = view.find(CONTROL_SERVICE);
   return found?.kind === 'control' ? found.replicas : undefined;
 }
--- a/packages/control/src/role/control.ts
+++ b/packages/control/src/role/control.ts
@@ -13,19 +13,19 @@
 import { DocumentService, DocumentView } from '../documents/index.js';
 import { controlEvents } from '../events.js';
 import { FollowService, OtherControls, Referral, enlist } from '../follow/index.js';
-import { RecentBoard } from '../recent/index.js';
+import { RecentReports } from '../recent/index.js';
 import { DisklessLog, Proposer } from '../log/index.js';
 import type { CommandLog } from '../log/index.js';
 import { controlMetrics } from '../metrics.js';
-import { ReplicaKeeper } from '../replicas/index.js';
+import { ReplicaReconciler } from '../replicas/index.js';
 import type { ControlSettings } from '../setting/index.js';
-import { ControlDocumentSource, localStatus, wholeStatus } from '../status/index.js';
-import { StoreWatch } from '../stores/index.js';
+import { ControlDocumentSource, localStatus, clusterStatus } from '../status/index.js';
+import { StoreMonitor } from '../stores/index.js';
 import type { StorePort } from '../stores/index.js';
 import { RelayedTargets, TargetBook } from '../targets/index.js';
-import { TimeKeeper } from '../time/index.js';
+import { LogTimeAdvancer } from '../time/index.js';
 import { TurnService } from '../turns/index.js';
-import { RemoteWeights } from '../weights/index.js';
+import { RemoteWeightUpdater } from '../weights/index.js';
 import { createMembership } from './createMembership.js';
 import type { StateParts } from './createState.js';
 
@@ -48,21 +48,21 @@
   private readonly view: DocumentView;
   private readonly members: Membership;
   private readonly source: ControlDocumentSource;
-  private readonly timeKeeper: TimeKeeper;
-  private readonly replicaKeeper: ReplicaKeeper;
+  private readonly timeKeeper: LogTimeAdvancer;
+  private readonly replicaKeeper: ReplicaReconciler;
   /** Numbered configurations, for operators' interfaces in this process. */
   readonly configurations: ConfigurationService;
   /** Announced targets, for interfaces in this process that targets call. */
   readonly targets: TargetBook;
-  private readonly loads: RecentBoard<controlMessage.TargetLoad>;
-  private readonly work: RecentBoard<controlMessage.EntryWork>;
+  private readonly loads: RecentReports<controlMessage.TargetLoad>;
+  private readonly work: RecentReports<controlMessage.EntryWork>;
   private readonly relayed: RelayedTargets;
   private readonly others: OtherControls;
   private follower: Follower | undefined;
   private readonly follow: FollowService;
-  private weights: RemoteWeights | undefined;
+  private weights: RemoteWeightUpdater | undefined;
   private referral: Referral | undefined;
-  private readonly stores: StoreWatch | undefined;
+  private readonly stores: StoreMonitor | undefined;
   private readonly unreadableCalls: ProblemTally;
   private readonly ended = new AbortController();
   private draining = false;
@@ -82,11 +82,11 @@
     this.view = new DocumentView(state.documents, log);
     this.members = createMembership(context, commandLog, this.view, settings.replicas);
     this.source = new ControlDocumentSource(state.documents, commandLog);
-    this.timeKeeper = new TimeKeeper(state.machine, commandLog, this.proposer, clock, log);
-    this.replicaKeeper = new ReplicaKeeper(this.view, commandLog, clock, log);
+    this.timeKeeper = new LogTimeAdvancer(state.machine, commandLog, this.proposer, clock, log);
+    this.replicaKeeper = new ReplicaReconciler(this.view, commandLog, clock, log);
     this.targets = new TargetBook(clock, log, settings.targetHeartbeatMs);
-    this.loads = new RecentBoard(clock);
-    this.work = new RecentBoard(clock);
+    this.loads = new RecentReports(clock);
+    this.work = new RecentReports(clock);
     this.relayed = new RelayedTargets(clock);
     const vouched = (): boolean => this.commandLog.status().vouched;
     this.others = new OtherControls({
@@ -97,7 +97,7 @@
       clock,
     });
     const { stores } = outside;
-    if (stores !== undefined) this.stores = new StoreWatch(state.configuration, stores, clock, log);
+    if (stores !== undefined) this.stores = new StoreMonitor(state.configuration, stores, clock, log);
     this.follow = this.createFollow();
     this.configurations = new ConfigurationService(state.configuration, this.proposer, clock, log);
     this.unreadableCalls = new ProblemTally(log, controlEvents.unreadableCall);
@@ -105,13 +105,13 @@
       this.measure();
       // Not within the step of the log, which others wait for.
       setImmediate(() => {
-        this.replicaKeeper.look();
+        this.replicaKeeper.reconcile();
       });
     });
     state.machine.onError((error) => {
       log.event(controlEvents.commandFailed, { problem: String(error) });
     });
-    state.machine.onBroken(() => {
+    state.machine.onHalted(() => {
       log.event(controlEvents.newerRelease);
       this.ended.abort();
       void commandLog.close();
@@ -130,7 +130,7 @@
       apply: (request) => documents.apply(request),
       get: (request) => documents.get(request),
       history: (request) => documents.history(request),
-      status: ({ local }) => (local ? localStatus(sources) : wholeStatus(sources)),
+      status: ({ local }) => (local ? localStatus(sources) : clusterStatus(sources)),
     });
     const { maxClaims, maxAnswerBytes } = settings;
     const leaderAddress = (): string => this.leaderAddress();
@@ -180,7 +180,7 @@
 
   readiness(): Readiness {
     if (this.draining) return { ready: false, reason: 'draining' };
-    if (this.state.machine.broken()) return { ready: false, reason: 'older than the log: upgrade' };
+    if (this.state.machine.isHalted()) return { ready: false, reason: 'older than the log: upgrade' };
     if (!this.commandLog.status().vouched) return { ready: false, reason: 'out of touch with a quorum' };
     return { ready: true, reason: 'in touch with a quorum' };
   }
@@ -266,7 +266,7 @@
     const { name, incarnation, clock, log } = this.context;
     const { follow, proposer, commandLog, loads } = this;
     const parts = { name, incarnation, follow, proposer, commandLog, loads, orders, clock, log };
-    this.weights = new RemoteWeights(parts);
+    this.weights = new RemoteWeightUpdater(parts);
     this.weights.start();
   }
 
@@ -276,7 +276,7 @@
     const parts = { name, role: 'control', listener: this.others, peers, clock, log } as const;
     const wantsBulk = (): boolean => this.follow.tellsEntries();
     const most = Number.POSITIVE_INFINITY;
-    this.follower = new Follower({ ...parts, controls: this.seeds, most, own, wantsBulk });
+    this.follower = new Follower({ ...parts, controls: this.seeds, maxFollowed: most, own, wantsBulk });
     this.follower.start();
   }
 
--- a/packages/control/src/role/createControl.ts
+++ b/packages/control/src/role/createControl.ts
@@ -39,7 +39,7 @@
   const state = createState();
   if (dataFolder === undefined) {
     if (!settings.enlists) return err(fault('invalid-request', 'control needs a data folder'));
-    log.event(controlEvents.withoutDisk);
+    log.event(controlEvents.startedWithoutDisk);
     return ok(new Control(context, { ...settings, enlists: false }, state, new DisklessLog(name)));
   }
   const opened = await ReplicatedLog.open({
--- a/packages/control/src/role/createMembership.ts
+++ b/packages/control/src/role/createMembership.ts
@@ -4,7 +4,7 @@
 import type { RoleContext } from '@jasmineroute/protocol';
 import type { DocumentView } from '../documents/index.js';
 import type { CommandLog, ReplicaAddress } from '../log/index.js';
-import { replicasOf } from '../replicas/index.js';
+import { configuredReplicas } from '../replicas/index.js';
 
 /** Members with a failure detector of their own; the other control instances come from the control document. */
 export function createMembership(
@@ -17,7 +17,7 @@
   const settings = detectorSettings.parse({});
   const vouched = (): boolean => commandLog.status().vouched;
   const detector = new FailureDetector({ observer: name, incarnation, clock, settings, vouched });
-  const controls = (): readonly ReplicaAddress[] => replicasOf(view) ?? initial;
+  const controls = (): readonly ReplicaAddress[] => configuredReplicas(view) ?? initial;
   const { tickMs } = settings;
   return new Membership({ name, incarnation, detector, tickMs, peers, clock, log, vouched, controls });
 }
--- a/packages/control/src/state/controlState.spec.ts
+++ b/packages/control/src/state/controlState.spec.ts
@@ -88,7 +88,7 @@
           expect(applyBatch(copy, [command])).toEqual(applyBatch(reference, [command]));
         }
         expect(copy.now()).toBe(reference.now());
-        expect(copy.expectsTime()).toBe(reference.expectsTime());
+        expect(copy.hasPendingExpiry()).toBe(reference.hasPendingExpiry());
         expect(copy.snapshot().byteLength).toBe(reference.snapshot().byteLength);
       }),
       { numRuns: 150 },
@@ -139,10 +139,10 @@
     // puts a command into the log that an older one doesn't know, and the older one skips it and continues.
     const { machine, documents } = createState();
     let notifications = 0;
-    machine.onBroken(() => (notifications += 1));
+    machine.onHalted(() => (notifications += 1));
     const unknownField = Uint8Array.of(0x0a, 0x03, 0xfa, 0x3f, 0x00);
     expect(machine.apply(1n, unknownField)).toHaveLength(0);
-    expect(machine.broken()).toBe(true);
+    expect(machine.isHalted()).toBe(true);
     const value = { service: 'a', keyHash: ALICE, operatorHashes: [ALICE] };
     expect(machine.apply(2n, encodeBatch([{ case: 'apply', value }]))).toHaveLength(0);
     expect(documents.revision()).toBe(0n);
--- a/packages/control/src/state/controlState.ts
+++ b/packages/control/src/state/controlState.ts
@@ -40,8 +40,8 @@
   }
 
   /** Whether any feature needs the log time to advance. */
-  expectsTime(): boolean {
-    return this.allFeatures().some((feature) => feature.expectsTime());
+  hasPendingExpiry(): boolean {
+    return this.allFeatures().some((feature) => feature.hasPendingExpiry());
   }
 
   /** Calls back each time the log time has advanced or a snapshot has been restored. */
@@ -50,12 +50,12 @@
   }
 
   /** Whether the log held an entry that this release can't decode; no entry has been applied since. */
-  broken(): boolean {
+  isHalted(): boolean {
     return this.isBroken;
   }
 
   /** Calls back when the log holds an entry that this release can't decode: this replica must stop. */
-  onBroken(listener: () => void): void {
+  onHalted(listener: () => void): void {
     this.brokenListeners.add(listener);
   }
 
@@ -135,7 +135,7 @@
   private advance(value: stateMessage.AdvanceTime): OutcomeValue {
     if (Number(value.fromMs) === this.time) {
       this.time += Math.min(value.stepMs, MAX_STEP_MS);
-      for (const feature of this.allFeatures()) feature.advanced(this.time);
+      for (const feature of this.allFeatures()) feature.advanceTo(this.time);
       this.notifyTimeListeners();
     }
     return { case: 'advance', value: { timeMs: BigInt(this.time) } };
--- a/packages/control/src/state/feature.ts
+++ b/packages/control/src/state/feature.ts
@@ -29,9 +29,9 @@
 export interface Feature {
   readonly handlers: CommandHandlers;
   /** Called when the log time has advanced to `now`. */
-  advanced(now: LogTime): void;
+  advanceTo(now: LogTime): void;
   /** Whether anything in this part expires, so that the log time has to advance. */
-  expectsTime(): boolean;
+  hasPendingExpiry(): boolean;
   /** This part, encoded. */
   snapshot(): Uint8Array;
   /** Replaces this part; `now` is the log time of the snapshot. */
--- a/packages/control/src/status/statusReport.ts
+++ b/packages/control/src/status/statusReport.ts
@@ -41,7 +41,7 @@
  * revision only to the control instance that receives its heartbeats: passing each report on would cost every control
  * instance a message for each instance and change.
  */
-export async function wholeStatus(sources: StatusSources): Promise<controlMessage.StatusResponse> {
+export async function clusterStatus(sources: StatusSources): Promise<controlMessage.StatusResponse> {
   const own = await localStatus(sources);
   const others = own.replicas.filter(({ name, state }) => name !== sources.name && state !== 'unreachable');
   const perReplica = await Promise.all(others.map(({ address }) => instancesKnownTo(sources.peers, address)));
--- a/packages/control/src/stores/storeWatch.spec.ts
+++ b/packages/control/src/stores/storeWatch.spec.ts
@@ -5,7 +5,7 @@
 import { ConfigurationState } from '../configuration/index.js';
 import { applyOne } from '../fixture/index.js';
 import { createState } from '../role/index.js';
-import { StoreWatch } from './storeWatch.js';
+import { StoreMonitor } from './storeWatch.js';
 
 const STORE = '10.0.0.9:80';
 
@@ -24,7 +24,7 @@
       news: () => clock.sleep(50).then(() => (answers ? news : Promise.reject(new Error('gone')))),
       list: () => Promise.reject(new Error('not listed')),
     };
-    const watch = new StoreWatch(state.configuration, port, clock, silentLog);
+    const watch = new StoreMonitor(state.configuration, port, clock, silentLog);
     const configure = (number: bigint, address: string | undefined): void => {
       const value = { number, content: content(address), source: new Uint8Array(0) };
       applyOne(state.machine, { case: 'configure', value });
@@ -67,7 +67,7 @@
       },
       list: () => Promise.reject(new Error('not listed')),
     };
-    const watch = new StoreWatch(state.configuration, port, clock, silentLog);
+    const watch = new StoreMonitor(state.configuration, port, clock, silentLog);
     const keys = (): number[] => watch.kept.since(0).added;
     const keyOf = (id: string): number => partKey(STORE, part(id, true));
     watch.start();
@@ -110,7 +110,7 @@
         });
       },
     };
-    const watch = new StoreWatch(state.configuration, port, clock, silentLog);
+    const watch = new StoreMonitor(state.configuration, port, clock, silentLog);
     const value = { number: 1n, content: content(STORE), source: new Uint8Array(0) };
     watch.start();
     applyOne(state.machine, { case: 'configure', value });
@@ -134,7 +134,7 @@
       },
       list: () => Promise.reject(new Error('not listed')),
     };
-    const watch = new StoreWatch(state.configuration, port, clock, silentLog);
+    const watch = new StoreMonitor(state.configuration, port, clock, silentLog);
     watch.start();
     for (const last of [1, 2, 3, 4, 5]) {
       const value = {
--- a/packages/control/src/stores/storeWatch.ts
+++ b/packages/control/src/stores/storeWatch.ts
@@ -44,7 +44,7 @@
  * the content of the stores, entries copy parts with nearly every request, also parts that no other request shares; these
  * evict the shared parts, which are then computed again.
  */
-export class StoreWatch {
+export class StoreMonitor {
   /** Parts that the stores keep. */
   readonly kept = new KeptParts();
   private readonly unreachableAddresses = new Set<string>();
--- a/packages/control/src/targets/relayedTargets.spec.ts
+++ b/packages/control/src/targets/relayedTargets.spec.ts
@@ -1,6 +1,6 @@
 import { create } from '@bufbuild/protobuf';
 import { ManualClock, silentLog } from '@jasmineroute/core';
-import { Knowledge } from '@jasmineroute/knowledge';
+import { ClusterView } from '@jasmineroute/knowledge';
 import { controlMessage } from '@jasmineroute/protocol';
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
@@ -22,7 +22,7 @@
 /** Control instances that tell each other, and a process that follows some of them; each way loses what is cut. */
 class World {
   readonly clock = new ManualClock();
-  readonly knowledge = new Knowledge(this.clock, silentLog);
+  readonly knowledge = new ClusterView(this.clock, silentLog);
   private readonly books = Array.from(
     { length: CONTROLS },
     () => new TargetBook(this.clock, silentLog, 1_000),
@@ -106,7 +106,7 @@
 
   /** What a process knows that follows every instance itself, and has just started. */
   readyByAll(): string[] {
-    const knowledge = new Knowledge(this.clock, silentLog);
+    const knowledge = new ClusterView(this.clock, silentLog);
     for (const [at, book] of this.books.entries())
       knowledge.apply(
         controlName(at),
--- a/packages/control/src/time/logTimeAdvancer.spec.ts
+++ b/packages/control/src/time/logTimeAdvancer.spec.ts
@@ -5,7 +5,7 @@
 import { createState } from '../role/index.js';
 import type { StateParts } from '../role/index.js';
 import { MAX_STEP_MS } from '../state/index.js';
-import { TimeKeeper } from './logTimeAdvancer.js';
+import { LogTimeAdvancer } from './logTimeAdvancer.js';
 
 const LIMITS = { inFlight: 1, batch: 8, batchBytes: 10_000, waitingBytes: 100_000, timeoutMs: 1_000 };
 
@@ -13,7 +13,7 @@
   let clock: ManualClock;
   let state: StateParts;
   let log: LocalLog;
-  let keeper: TimeKeeper;
+  let keeper: LogTimeAdvancer;
   let proposer: Proposer;
 
   beforeEach(async () => {
@@ -21,7 +21,7 @@
     state = createState();
     log = new LocalLog(state.machine);
     proposer = new Proposer(log, LIMITS);
-    keeper = new TimeKeeper(state.machine, log, proposer, clock, silentLog);
+    keeper = new LogTimeAdvancer(state.machine, log, proposer, clock, silentLog);
     void keeper.run();
     await proposer.propose('take', { name: 't', holder: 'a', incarnation: 1n, limit: 1, ttlMs: 600_000 });
   });
--- a/packages/control/src/time/logTimeAdvancer.ts
+++ b/packages/control/src/time/logTimeAdvancer.ts
@@ -14,7 +14,7 @@
  * never runs ahead of real time: a jump of the wall clock has no effect, a leader that was paused adds one step at most, and
  * of two leaders only one advances a given log time. A lease may last longer than requested, never shorter.
  */
-export class TimeKeeper {
+export class LogTimeAdvancer {
   private lastStepAt: number;
   private readonly abort = new AbortController();
 
@@ -37,7 +37,7 @@
     for (;;) {
       await this.clock.sleep(STEP_INTERVAL_MS, signal).catch(() => undefined);
       if (signal.aborted) return;
-      if (this.log.status().state === 'leader' && this.state.expectsTime()) await this.step();
+      if (this.log.status().state === 'leader' && this.state.hasPendingExpiry()) await this.step();
     }
   }
 
--- a/packages/control/src/turns/turnState.ts
+++ b/packages/control/src/turns/turnState.ts
@@ -40,7 +40,7 @@
     release: (request) => ({ case: 'release', value: this.release(request) }),
   };
 
-  advanced(now: LogTime): void {
+  advanceTo(now: LogTime): void {
     for (const [name, leases] of this.names)
       this.keep(
         name,
@@ -48,7 +48,7 @@
       );
   }
 
-  expectsTime(): boolean {
+  hasPendingExpiry(): boolean {
     return this.names.size > 0;
   }
 
--- a/packages/control/src/weights/remoteWeights.ts
+++ b/packages/control/src/weights/remoteWeights.ts
@@ -3,25 +3,25 @@
 import type { TurnSource } from '@jasmineroute/agent';
 import { runLasting } from '@jasmineroute/core';
 import type { Clock, Log } from '@jasmineroute/core';
-import { Knowledge } from '@jasmineroute/knowledge';
+import { ClusterView } from '@jasmineroute/knowledge';
 import { controlMessage } from '@jasmineroute/protocol';
 import { UnattendedTargets } from '@jasmineroute/rollout';
 import type { Observation, RemoteOrders } from '@jasmineroute/rollout';
 import type { FollowService } from '../follow/index.js';
 import type { CommandLog, Proposer } from '../log/index.js';
-import type { RecentBoard } from '../recent/index.js';
+import type { RecentReports } from '../recent/index.js';
 
 /** Above any configuration number, so that the stream omits the configuration, which would be held a second time. */
 const NEWEST_NUMBER = BigInt(Number.MAX_SAFE_INTEGER);
 
 /** Dependencies of `RemoteWeights`. */
-export interface RemoteWeightsParts {
+export interface RemoteWeightUpdaterParts {
   readonly name: string;
   readonly incarnation: bigint;
   readonly follow: FollowService;
   readonly proposer: Proposer;
   readonly commandLog: CommandLog;
-  readonly loads: RecentBoard<controlMessage.TargetLoad>;
+  readonly loads: RecentReports<controlMessage.TargetLoad>;
   readonly orders: RemoteOrders;
   readonly clock: Clock;
   readonly log: Log;
@@ -31,14 +31,14 @@
  * Follows its own control instance as an agent does, and updates the weights of unattended targets while that instance
  * leads the log.
  */
-export class RemoteWeights {
+export class RemoteWeightUpdater {
   private readonly stopped = new AbortController();
-  private readonly knowledge: Knowledge;
+  private readonly knowledge: ClusterView;
   private readonly unattended: UnattendedTargets;
 
-  constructor(private readonly parts: RemoteWeightsParts) {
+  constructor(private readonly parts: RemoteWeightUpdaterParts) {
     const { name, incarnation, proposer, commandLog, loads, orders, clock, log } = parts;
-    this.knowledge = new Knowledge(clock, log);
+    this.knowledge = new ClusterView(clock, log);
     this.unattended = new UnattendedTargets({
       ...orders,
       name,
--- a/packages/engine/src/wire/answer.ts
+++ b/packages/engine/src/wire/answer.ts
@@ -4,7 +4,7 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { HeaderField } from '../port/index.js';
-import { broken } from './failure.js';
+import { brokenStreamFault } from './failure.js';
 
 /** An HTTP request. */
 export interface WireRequest {
@@ -63,7 +63,7 @@
       if (size > limit) return err(fault('engine-failed', `an answer of more than ${limit} bytes`));
     }
   } catch (error) {
-    return err(broken(error));
+    return err(brokenStreamFault(error));
   }
   return ok(Buffer.concat(parts));
 }
--- a/packages/engine/src/wire/exchange.ts
+++ b/packages/engine/src/wire/exchange.ts
@@ -6,7 +6,7 @@
 import type { Dispatcher } from 'undici';
 import { fieldsOf, isFramed } from './answer.js';
 import type { RawHeaders, WireAnswer, WireRequest } from './answer.js';
-import { FaultError, broken } from './failure.js';
+import { FaultError, brokenStreamFault } from './failure.js';
 
 /** Buffered bytes above which the target is paused, and below which it is resumed. */
 const HIGH_WATER_BYTES = 64 * 1024;
@@ -139,7 +139,7 @@
   next(): Promise<IteratorResult<Uint8Array, undefined>> {
     const chunk = this.take();
     if (chunk !== undefined) return Promise.resolve({ done: false, value: chunk });
-    if (this.failed !== undefined) return Promise.reject(new FaultError(broken(this.failed)));
+    if (this.failed !== undefined) return Promise.reject(new FaultError(brokenStreamFault(this.failed)));
     if (this.ended) return Promise.resolve({ done: true, value: undefined });
     return new Promise<void>((resolve) => {
       this.wakeReader = resolve;
--- a/packages/engine/src/wire/failure.ts
+++ b/packages/engine/src/wire/failure.ts
@@ -15,7 +15,7 @@
 }
 
 /** Fault for an answer that broke in the middle. */
-export function broken(error: unknown): Fault {
+export function brokenStreamFault(error: unknown): Fault {
   return faultOf(error, (cause) => {
     const message = cause instanceof Error ? cause.message : String(cause);
     return fault('stream-broken', `the target's answer broke: ${message}`, { cause });
--- a/packages/entry/src/work/work.ts
+++ b/packages/entry/src/work/work.ts
@@ -2,7 +2,7 @@
 import { fault } from '@jasmineroute/core';
 import type { Cancellation, HopSpan } from '@jasmineroute/core';
 import { tokensOf } from '@jasmineroute/routing';
-import type { Demand } from '@jasmineroute/routing';
+import type { AdmissionRequest } from '@jasmineroute/routing';
 import type { Call } from '../call/index.js';
 import { entryEvents } from '../events.js';
 import type { Reply } from '../http/reply.js';
@@ -59,7 +59,7 @@
     }
   }
 
-  private demand(): Demand {
+  private demand(): AdmissionRequest {
     const { customer, priority, deadlineMs, model } = this.call;
     const promptTokens = tokensOf(model?.prompt.bytes.length ?? 0);
     return { customer, priority, deadlineMs, promptTokens, signal: this.stop.signal };
--- a/packages/knowledge/src/clusterView.spec.ts
+++ b/packages/knowledge/src/clusterView.spec.ts
@@ -2,7 +2,7 @@
 import { ManualClock, silentLog } from '@jasmineroute/core';
 import { controlMessage, partKey } from '@jasmineroute/protocol';
 import { describe, expect, it } from 'vitest';
-import { Knowledge } from './clusterView.js';
+import { ClusterView } from './clusterView.js';
 
 const content = (number: number): Uint8Array =>
   Buffer.from(JSON.stringify({ number, routes: [], services: [] }));
@@ -15,7 +15,7 @@
 
 describe('the view of the cluster', () => {
   it('never goes back to an older configuration', () => {
-    const knowledge = new Knowledge(new ManualClock(), silentLog);
+    const knowledge = new ClusterView(new ManualClock(), silentLog);
     knowledge.apply('c1', event({ number: 5n, content: content(5) }), true);
     knowledge.apply('c2', event({ number: 4n, content: content(4) }), true);
     expect(knowledge.table()?.number).toBe(5);
@@ -24,7 +24,7 @@
   it('is confirmed only by an instance in contact with a quorum', () => {
     // Guards against an entry that serves by an outdated configuration, as it starts beside a control instance that is cut
     // off from the others.
-    const knowledge = new Knowledge(new ManualClock(), silentLog);
+    const knowledge = new ClusterView(new ManualClock(), silentLog);
     knowledge.apply('c1', event({ vouched: false, number: 5n, content: content(5) }), true);
     expect(knowledge.confirmed()).toBe(false);
     knowledge.apply('c2', event({ vouched: true, number: 6n, content: content(6) }), true);
@@ -33,7 +33,7 @@
 
   it('counts weights as stale from the first request of a newer version on', async () => {
     const clock = new ManualClock();
-    const knowledge = new Knowledge(clock, silentLog);
+    const knowledge = new ClusterView(clock, silentLog);
     await clock.advance(10_000);
     knowledge.apply('c1', event({ weights: [named(2, 100)] }), true);
     await clock.advance(5_000);
@@ -45,7 +45,7 @@
   });
 
   it('holds what stores keep while the reporting control instance is followed', () => {
-    const knowledge = new Knowledge(new ManualClock(), silentLog);
+    const knowledge = new ClusterView(new ManualClock(), silentLog);
     const part = { salt: 's', model: 'm', part: 'a' };
     const reported = (change: Partial<controlMessage.KeptChanges>) =>
       event({ kept: Object.assign(create(controlMessage.KeptChangesSchema, {}), change) });
@@ -60,7 +60,7 @@
   });
 
   it('merges the caches of targets that several instances report', () => {
-    const knowledge = new Knowledge(new ManualClock(), silentLog);
+    const knowledge = new ClusterView(new ManualClock(), silentLog);
     const part = { salt: 's', model: 'm', part: 'a' };
     const reported = (address: string) =>
       event({
--- a/packages/knowledge/src/clusterView.ts
+++ b/packages/knowledge/src/clusterView.ts
@@ -6,7 +6,7 @@
 import type { StoredPart, controlMessage } from '@jasmineroute/protocol';
 import { knowledgeEvents } from './events.js';
 import type { Listener } from './followTask.js';
-import { readShared } from './sharedEvents.js';
+import { readSharedEvents } from './sharedEvents.js';
 import { TargetList } from './targetList.js';
 
 const decoder = new TextDecoder();
@@ -22,7 +22,7 @@
 }
 
 /** Updated by the events of control instances; never goes back to an older configuration. */
-export class Knowledge implements Listener {
+export class ClusterView implements Listener {
   readonly targets: TargetList;
   private current: RoutingTable | undefined;
   private isConfirmed = false;
@@ -109,7 +109,7 @@
   }
 
   /** Subscribes to the events of control instances; called after each is applied. Returns a function that unsubscribes. */
-  onNews(listener: () => void): () => void {
+  onEvent(listener: () => void): () => void {
     this.eventListeners.add(listener);
     return () => this.eventListeners.delete(listener);
   }
@@ -133,7 +133,7 @@
     this.entryCounts.set(control, event.entries);
     this.lostStores.set(control, event.lostStores);
     if (event.shared.length === 0) this.applyUpdate(control, event, isFirst);
-    for (const update of readShared(event)) this.applyUpdate(control, update, update.whole);
+    for (const update of readSharedEvents(event)) this.applyUpdate(control, update, update.whole);
     if (event.vouched && !this.isConfirmed) {
       this.isConfirmed = true;
       this.log.event(knowledgeEvents.confirmed, { control, number: this.current?.number });
--- a/packages/knowledge/src/failoverClient.spec.ts
+++ b/packages/knowledge/src/failoverClient.spec.ts
@@ -2,7 +2,7 @@
 import type { Log } from '@jasmineroute/core';
 import type { Peers } from '@jasmineroute/protocol';
 import { describe, expect, it } from 'vitest';
-import { Teller } from './failoverClient.js';
+import { FailoverClient } from './failoverClient.js';
 
 describe('a call to one of several control instances', () => {
   const clock = new ManualClock();
@@ -12,7 +12,7 @@
       events.push(id);
     },
   } as unknown as Log;
-  const client = new Teller({
+  const client = new FailoverClient({
     controls: () => ['a', 'b', 'c'],
     peers: { transport: () => ({}) } as unknown as Peers,
     clock,
@@ -22,7 +22,7 @@
   const tried: string[] = [];
   const call = (preferred?: string): Promise<string | undefined> => {
     tried.length = 0;
-    return client.tell((_client, _options, address) => {
+    return client.call((_client, _options, address) => {
       tried.push(address);
       return down.has(address) ? Promise.reject(new Error('down')) : Promise.resolve();
     }, preferred);
--- a/packages/knowledge/src/failoverClient.ts
+++ b/packages/knowledge/src/failoverClient.ts
@@ -13,7 +13,7 @@
 const SKIP_MS = 2_000;
 
 /** Dependencies of the client. */
-export interface TellerParts {
+export interface FailoverParts {
   /** Control instances, host:port, in the order in which they are tried. */
   readonly controls: () => readonly string[];
   readonly peers: Peers;
@@ -29,14 +29,14 @@
 ) => Promise<unknown>;
 
 /** Skips instances that did not answer for some time, and logs each loss and each return once. */
-export class Teller {
+export class FailoverClient {
   /** Monotonic time until which an instance is skipped, by address. */
   private readonly skippedUntil = new Map<string, number>();
 
-  constructor(private readonly parts: TellerParts) {}
+  constructor(private readonly parts: FailoverParts) {}
 
   /** Calls instances in order, `preferred` first, until one answers. @returns its address, or undefined. */
-  async tell(call: ControlCall, preferred?: string): Promise<string | undefined> {
+  async call(call: ControlCall, preferred?: string): Promise<string | undefined> {
     const { controls, clock } = this.parts;
     const known = controls();
     const ordered = [...known].sort((a, b) => Number(b === preferred) - Number(a === preferred));
--- a/packages/knowledge/src/follower.spec.ts
+++ b/packages/knowledge/src/follower.spec.ts
@@ -8,7 +8,7 @@
 import { FollowTask } from './followTask.js';
 import type { Listener } from './followTask.js';
 import { Follower } from './follower.js';
-import { Knowledge } from './clusterView.js';
+import { ClusterView } from './clusterView.js';
 
 /** Silence after which a stream that has delivered events is aborted, milliseconds. */
 const SILENCE_MS = 2_000;
@@ -56,8 +56,8 @@
   }
 
   /** Follows a control instance. Returns the view that its events update. */
-  function follow(address: string): Knowledge {
-    const knowledge = new Knowledge(systemClock, silentLog);
+  function follow(address: string): ClusterView {
+    const knowledge = new ClusterView(systemClock, silentLog);
     const parts = { listener: knowledge, peers, clock: systemClock, log: silentLog };
     const follower = new Follower({ name: 'e1', role: 'entry', controls: [address], ...parts });
     followers.push(follower);
@@ -98,7 +98,7 @@
   // Guards against a stopped stream that drops the connection of its successor.
   it('leaves the connection to a newer stream when an older one has delivered nothing', async () => {
     const { address } = await control('mute');
-    const listener = new Knowledge(systemClock, silentLog);
+    const listener = new ClusterView(systemClock, silentLog);
     const owner = { hasEnough: () => true, controlsListed: () => undefined, contactChanged: () => undefined };
     const parts = { name: 'e1', role: 'entry', listener, peers, clock: systemClock, log: silentLog } as const;
     const [old, newer] = [0, 1].map(() => new FollowTask(address, parts, owner, true));
@@ -187,7 +187,7 @@
     name = 'e1',
   ): Follower {
     const parts = {
-      listener: new Knowledge(systemClock, silentLog),
+      listener: new ClusterView(systemClock, silentLog),
       peers,
       clock: systemClock,
       log: silentLog,
--- a/packages/knowledge/src/follower.ts
+++ b/packages/knowledge/src/follower.ts
@@ -30,7 +30,7 @@
   /** Seed addresses of control instances, host:port. */
   readonly controls: readonly string[];
   /** Number of instances to follow; absent: one more than may be lost at once. */
-  readonly most?: number;
+  readonly maxFollowed?: number;
   /** Its own address, where it is a control instance itself. */
   readonly own?: string;
   /** Whether loads, work and caches are requested from all instances, to relay them; an entry requests them from its primary. */
@@ -62,7 +62,7 @@
 
   constructor(private readonly parts: FollowerParts) {
     this.seeds = parts.controls;
-    this.maxFollowed = parts.most ?? MAX_FOLLOWED;
+    this.maxFollowed = parts.maxFollowed ?? MAX_FOLLOWED;
   }
 
   /** Starts to follow. */
--- a/packages/knowledge/src/reportSender.ts
+++ b/packages/knowledge/src/reportSender.ts
@@ -1,8 +1,8 @@
 /** Sends reports to one control instance, which relays them to others. */
 import { ReportStream } from './reportStream.js';
 import type { Report } from './reportStream.js';
-import { Teller } from './failoverClient.js';
-import type { TellerParts, ControlCall } from './failoverClient.js';
+import { FailoverClient } from './failoverClient.js';
+import type { FailoverParts, ControlCall } from './failoverClient.js';
 
 /**
  * Reports go over one long-lived stream, to the first control instance of the order that accepts it. A call for each report
@@ -12,10 +12,10 @@
   private stream: ReportStream | undefined;
   private isClosed = false;
   private opening: Promise<ReportStream | undefined> | undefined;
-  private readonly client: Teller;
+  private readonly client: FailoverClient;
 
-  constructor(private readonly parts: TellerParts) {
-    this.client = new Teller(parts);
+  constructor(private readonly parts: FailoverParts) {
+    this.client = new FailoverClient(parts);
   }
 
   /**
@@ -47,7 +47,7 @@
 
   /** Opens a stream to the first control instance that accepts it. */
   private async openStream(): Promise<ReportStream | undefined> {
-    const address = await this.client.tell(this.open);
+    const address = await this.client.call(this.open);
     return address === undefined ? undefined : this.stream;
   }
 
--- a/packages/knowledge/src/sharedEvents.spec.ts
+++ b/packages/knowledge/src/sharedEvents.spec.ts
@@ -1,7 +1,7 @@
 import { create, toBinary } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 import { describe, expect, it } from 'vitest';
-import { readShared } from './sharedEvents.js';
+import { readSharedEvents } from './sharedEvents.js';
 
 const { EntryWorkSchema, FollowEventSchema } = controlMessage;
 
@@ -24,7 +24,7 @@
       ],
     });
     const bytes = toBinary(FollowEventSchema, create(FollowEventSchema, { work: [all] }));
-    const [event] = readShared(create(FollowEventSchema, { shared: [bytes], ownWork }));
+    const [event] = readSharedEvents(create(FollowEventSchema, { shared: [bytes], ownWork }));
     expect(event?.work).toEqual([
       create(EntryWorkSchema, {
         entry: 'others',
--- a/packages/knowledge/src/sharedEvents.ts
+++ b/packages/knowledge/src/sharedEvents.ts
@@ -6,7 +6,10 @@
 const OTHER_ENTRIES = 'others';
 
 /** The shared events inside an event, in order, without the work that the follower reported itself. */
-export function readShared({ shared, ownWork }: controlMessage.FollowEvent): controlMessage.FollowEvent[] {
+export function readSharedEvents({
+  shared,
+  ownWork,
+}: controlMessage.FollowEvent): controlMessage.FollowEvent[] {
   const own = new Map(ownWork?.targets.map(({ targetId, tokens }) => [targetId, tokens]));
   return shared.map((bytes) => {
     const event = fromBinary(controlMessage.FollowEventSchema, bytes);
--- a/packages/relay/src/answer/callerAnswer.ts
+++ b/packages/relay/src/answer/callerAnswer.ts
@@ -122,7 +122,7 @@
       this.cut();
       return;
     }
-    const { status, headers, body } = this.dialect.ownAnswer(statusOf(fault), fault, requestId);
+    const { status, headers, body } = this.dialect.localAnswer(statusOf(fault), fault, requestId);
     for (const name of this.response.getHeaderNames()) {
       if (name !== 'connection') this.response.removeHeader(name);
     }
--- a/packages/relay/src/dialect/dialect.ts
+++ b/packages/relay/src/dialect/dialect.ts
@@ -41,7 +41,7 @@
 }
 
 /** Fields that the relay adds to a request before it sends it to a target. */
-export interface Addition {
+export interface AddedFields {
   /** Time left until the deadline, milliseconds. */
   readonly deadlineMs: number;
   /** Name of the target that may run the request; any other refuses it. */
@@ -69,7 +69,7 @@
 }
 
 /** Metadata of a target's answer. */
-export interface AnswerMarks {
+export interface AnswerMetadata {
   /** Id of the answered request. */
   readonly requestId?: string;
   /** Whether the target states that it did not and will not run the request. */
@@ -82,7 +82,7 @@
 }
 
 /** A complete answer created by the relay itself. */
-export interface OwnAnswer {
+export interface LocalAnswer {
   readonly status: number;
   readonly headers: readonly HeaderField[];
   readonly body: Uint8Array;
@@ -92,10 +92,10 @@
 export interface Dialect {
   readRequest(incoming: IncomingMessage): Result<RelayRequest, Fault>;
   /** Headers of the request to a target. */
-  targetHeaders(request: RelayRequest, addedFields: Addition): Record<string, string>;
-  readAnswer(status: number, headers: readonly HeaderField[]): AnswerMarks;
+  targetHeaders(request: RelayRequest, addedFields: AddedFields): Record<string, string>;
+  readAnswer(status: number, headers: readonly HeaderField[]): AnswerMetadata;
   /** Headers of a target's answer that are forwarded to the caller. */
   callerHeaders(headers: readonly HeaderField[]): HeaderField[];
   /** The answer to a request that failed in the relay, with the given status. */
-  ownAnswer(status: number, fault: Fault, requestId: string | undefined): OwnAnswer;
+  localAnswer(status: number, fault: Fault, requestId: string | undefined): LocalAnswer;
 }
--- a/packages/relay/src/placement/placement.spec.ts
+++ b/packages/relay/src/placement/placement.spec.ts
@@ -1,5 +1,5 @@
 import { ManualClock, silentLog } from '@jasmineroute/core';
-import { Knowledge } from '@jasmineroute/knowledge';
+import { ClusterView } from '@jasmineroute/knowledge';
 import type { Target } from '@jasmineroute/knowledge';
 import { create } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
@@ -280,7 +280,7 @@
 
 describe('targets while weights are replaced', () => {
   const clock = new ManualClock();
-  const knowledge = new Knowledge(clock, silentLog);
+  const knowledge = new ClusterView(clock, silentLog);
   const event = create(controlMessage.FollowEventSchema, {
     weights: [{ model: 'm', version: 2n, ageMs: 0 }],
   });
--- a/packages/relay/src/placement/weights.ts
+++ b/packages/relay/src/placement/weights.ts
@@ -1,5 +1,5 @@
 /** Selects the targets that may serve a model while its weights are being replaced. */
-import type { Knowledge, Target } from '@jasmineroute/knowledge';
+import type { ClusterView, Target } from '@jasmineroute/knowledge';
 
 /**
  * Time after new weights are named from which targets with older weights are avoided, milliseconds. An answer loses
@@ -48,7 +48,7 @@
 export function eligibleByWeights(
   candidates: readonly Target[],
   request: ModelRequest | undefined,
-  knowledge: Knowledge,
+  knowledge: ClusterView,
   now: number,
   limitMs: number,
 ): readonly Target[] {
@@ -64,7 +64,7 @@
   return targetsOf(isLate && newest.length >= candidates.length * MIN_UPDATED_RATIO ? newest : usable);
 }
 
-function weightsAgeOf(target: Target, model: string, knowledge: Knowledge, now: number): WeightsAge {
+function weightsAgeOf(target: Target, model: string, knowledge: ClusterView, now: number): WeightsAge {
   const version = target.weights.get(model);
   const since = version === undefined ? undefined : knowledge.staleSince(model, version);
   return { target, staleMs: since === undefined ? -1 : now - since };
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -8,7 +8,7 @@
 import { CopySchedule } from './cache/index.js';
 import type { Dialect } from './dialect/index.js';
 import { relayEvents } from './events.js';
-import { Follower, Knowledge } from '@jasmineroute/knowledge';
+import { Follower, ClusterView } from '@jasmineroute/knowledge';
 import { relayMetrics } from './metrics.js';
 import { TargetSelector } from './placement/index.js';
 import type { RelaySettings } from './setting/index.js';
@@ -40,7 +40,7 @@
 export class Relay implements RoleProcess {
   private readonly requestContext: RelayContext;
   private readonly server: CallerServer;
-  private readonly knowledge: Knowledge;
+  private readonly knowledge: ClusterView;
   private readonly follower: Follower;
   private readonly reporter: WorkReporter;
   private readonly stopped = new AbortController();
@@ -58,7 +58,7 @@
     dialect: Dialect,
   ) {
     const { name, dataCentre, clock, stalls, log, metrics, peers, controls } = context;
-    this.knowledge = new Knowledge(clock, log);
+    this.knowledge = new ClusterView(clock, log);
     const { knowledge } = this;
     this.follower = new Follower({ name, role: 'entry', controls, listener: knowledge, peers, clock, log });
     const random = createRandom(settings.seed === 0 ? seedOf(name) : settings.seed);
--- a/packages/relay/src/target/targetMonitor.ts
+++ b/packages/relay/src/target/targetMonitor.ts
@@ -143,7 +143,7 @@
     // The wait for a fetch must not be counted as time to read.
     const needsNoFetch = fetch === undefined || fetch.tokens === 0;
     const updateModel = (): void => {
-      this.firstTokenModel(service).came(id, tokensAhead, this.clock.monotonic() - startedAt);
+      this.firstTokenModel(service).record(id, tokensAhead, this.clock.monotonic() - startedAt);
     };
     const prompt = this.backlog.enqueue(id, tokens, needsNoFetch ? updateModel : undefined);
     const queuedFetch = fetch === undefined ? undefined : this.backlog.enqueue(fetch.store, fetch.tokens);
@@ -200,7 +200,7 @@
   retain(ids: ReadonlySet<string>): void {
     for (const [id, { open }] of this.statuses) if (!ids.has(id) && open === 0) this.statuses.delete(id);
     this.backlog.dropExpired();
-    for (const model of this.models.values()) model.keep(ids);
+    for (const model of this.models.values()) model.retain(ids);
     this.pace.retain(ids);
   }
 }
--- a/packages/relay/src/target/workReporter.ts
+++ b/packages/relay/src/target/workReporter.ts
@@ -1,7 +1,7 @@
 /** Reports this entry's pending work at targets to the other entries. */
 import { create } from '@bufbuild/protobuf';
 import { ReportSender } from '@jasmineroute/knowledge';
-import type { TellerParts } from '@jasmineroute/knowledge';
+import type { FailoverParts } from '@jasmineroute/knowledge';
 import { controlMessage } from '@jasmineroute/protocol';
 import type { Backlog, PromptWork } from './backlog.js';
 
@@ -20,7 +20,7 @@
 const MIN_CHANGE_TOKENS = 500;
 
 /** Dependencies of the reporter. */
-export interface WorkReporterParts extends TellerParts {
+export interface WorkReporterParts extends FailoverParts {
   readonly name: string;
   readonly backlog: Backlog;
   /** Number of entries currently serving. */
--- a/packages/relay/src/testing/dialect.ts
+++ b/packages/relay/src/testing/dialect.ts
@@ -52,7 +52,7 @@
     otherTargetName: headerOf(headers, 't-target'),
   }),
   callerHeaders: (headers) => headers.filter(({ name }) => name.startsWith('t-')),
-  ownAnswer: (status, { kind, ran, retryAfterMs }, requestId) => ({
+  localAnswer: (status, { kind, ran, retryAfterMs }, requestId) => ({
     status,
     headers: [
       { name: 't-id', value: requestId ?? '' },
--- a/packages/relay/src/work/addedFields.ts
+++ b/packages/relay/src/work/addedFields.ts
@@ -1,7 +1,7 @@
 /** Fields that the relay adds to a request before it sends it to a target. */
 import type { Target } from '@jasmineroute/knowledge';
 import type { Source } from '../cache/index.js';
-import type { Addition } from '../dialect/index.js';
+import type { AddedFields } from '../dialect/index.js';
 import type { Job } from './attempt.js';
 import type { RelayContext } from './context.js';
 import { cacheSaltAt, assignedStore, weightsVersionAt } from './sharedParts.js';
@@ -20,7 +20,7 @@
   leftMs: number,
   resumeAfter: string | undefined,
   source: Source | undefined,
-): Addition {
+): AddedFields {
   const { customer, route } = job;
   const weightsVersion = weightsVersionAt(target, job);
   const cacheSalt = route.hasPrompt ? cacheSaltAt(target, job) : undefined;
--- a/packages/relay/src/work/attempt.ts
+++ b/packages/relay/src/work/attempt.ts
@@ -7,7 +7,7 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { NOT_RUN_STATUSES } from '../answer/index.js';
-import type { Addition, AnswerMarks, RelayRequest } from '../dialect/index.js';
+import type { AddedFields, AnswerMetadata, RelayRequest } from '../dialect/index.js';
 import type { Target } from '@jasmineroute/knowledge';
 import { connectionShare } from '../target/index.js';
 import type { RelayContext } from './context.js';
@@ -26,7 +26,7 @@
 /** A target's answer whose status and headers match the request. */
 export interface TargetAnswer {
   readonly wire: WireAnswer;
-  readonly metadata: AnswerMarks;
+  readonly metadata: AnswerMetadata;
 }
 
 const SUCCESS = 200;
@@ -37,7 +37,7 @@
   context: RelayContext,
   job: Job,
   target: Target,
-  addedFields: Addition,
+  addedFields: AddedFields,
   signal: AbortSignal,
 ): Promise<Result<TargetAnswer, Fault>> {
   const { dialect, pools, knowledge, monitor, clock, stalls } = context;
--- a/packages/relay/src/work/context.ts
+++ b/packages/relay/src/work/context.ts
@@ -4,7 +4,7 @@
 import type { Random } from '@jasmineroute/routing';
 import type { CopySchedule } from '../cache/index.js';
 import type { Dialect } from '../dialect/index.js';
-import type { Knowledge } from '@jasmineroute/knowledge';
+import type { ClusterView } from '@jasmineroute/knowledge';
 import type { TargetSelector } from '../placement/index.js';
 import type { TargetPools, TargetMonitor } from '../target/index.js';
 import type { StartupGrace } from './startupGrace.js';
@@ -13,7 +13,7 @@
 /** State and services shared by all requests of one relay. */
 export interface RelayContext {
   readonly dialect: Dialect;
-  readonly knowledge: Knowledge;
+  readonly knowledge: ClusterView;
   readonly selector: TargetSelector;
   readonly monitor: TargetMonitor;
   readonly pools: TargetPools;
--- a/packages/relay/src/work/forward.ts
+++ b/packages/relay/src/work/forward.ts
@@ -1,7 +1,7 @@
 /** Forwards answers of targets that are not streams to callers. */
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
-import { broken, headerOf } from '@jasmineroute/engine';
+import { brokenStreamFault, headerOf } from '@jasmineroute/engine';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { CallerAnswer } from '../answer/index.js';
@@ -65,7 +65,7 @@
   try {
     for await (const chunk of wire.body) await answer.write(chunk);
   } catch (error) {
-    return interrupted(broken(error));
+    return interrupted(brokenStreamFault(error));
   }
   answer.end();
   return { state: 'answered' };
@@ -76,7 +76,7 @@
   try {
     for await (const chunk of body) chunks.push(chunk);
   } catch (error) {
-    return err(broken(error));
+    return err(brokenStreamFault(error));
   }
   return ok(Buffer.concat(chunks));
 }
--- a/packages/relay/src/work/report.ts
+++ b/packages/relay/src/work/report.ts
@@ -1,6 +1,6 @@
 /** Log records of a request's attempts and refusals: the inputs of the decision, their age, and the outcome. */
 import type { CallerAnswer } from '../answer/index.js';
-import type { Addition } from '../dialect/index.js';
+import type { AddedFields } from '../dialect/index.js';
 import type { Placement } from '../placement/index.js';
 import type { Job } from './attempt.js';
 import type { Outcome } from './forward.js';
@@ -10,7 +10,7 @@
 export interface Attempt {
   readonly job: Job;
   readonly placement: Placement;
-  readonly addedFields: Addition;
+  readonly addedFields: AddedFields;
   readonly outcome: Outcome;
   /** Status of the target's answer; 0 if there was none. */
   readonly status: number;
--- a/packages/relay/src/work/startupGrace.spec.ts
+++ b/packages/relay/src/work/startupGrace.spec.ts
@@ -1,6 +1,6 @@
 import { create } from '@bufbuild/protobuf';
 import { ManualClock, silentLog } from '@jasmineroute/core';
-import { Knowledge } from '@jasmineroute/knowledge';
+import { ClusterView } from '@jasmineroute/knowledge';
 import { controlMessage } from '@jasmineroute/protocol';
 import { beforeEach, describe, expect, it } from 'vitest';
 import { STARTUP_GRACE_MS, StartupGrace } from './startupGrace.js';
@@ -14,13 +14,13 @@
 
 describe('an entry that has just started', () => {
   let clock: ManualClock;
-  let knowledge: Knowledge;
+  let knowledge: ClusterView;
   let grace: StartupGrace;
   let caller: AbortController;
 
   beforeEach(() => {
     clock = new ManualClock();
-    knowledge = new Knowledge(clock, silentLog);
+    knowledge = new ClusterView(clock, silentLog);
     grace = new StartupGrace(knowledge, clock);
     caller = new AbortController();
   });
--- a/packages/relay/src/work/startupGrace.ts
+++ b/packages/relay/src/work/startupGrace.ts
@@ -1,6 +1,6 @@
 /** Holds requests that arrive before a newly started entry knows the configuration and its targets. */
 import type { Clock } from '@jasmineroute/core';
-import type { Knowledge } from '@jasmineroute/knowledge';
+import type { ClusterView } from '@jasmineroute/knowledge';
 
 /**
  * Time after start within which an entry receives its configuration and targets, milliseconds: control instances that
@@ -17,11 +17,11 @@
   private readonly waiting = new Set<() => void>();
 
   constructor(
-    knowledge: Knowledge,
+    knowledge: ClusterView,
     private readonly clock: Clock,
   ) {
     this.endsAt = clock.monotonic() + STARTUP_GRACE_MS;
-    knowledge.onNews(() => {
+    knowledge.onEvent(() => {
       for (const check of this.waiting) check();
     });
   }
--- a/packages/relay/src/work/stream.ts
+++ b/packages/relay/src/work/stream.ts
@@ -1,6 +1,6 @@
 /** Forwards a stream of events from targets to one caller. */
 import { fault } from '@jasmineroute/core';
-import { broken } from '@jasmineroute/engine';
+import { brokenStreamFault } from '@jasmineroute/engine';
 import type { WireAnswer } from '@jasmineroute/engine';
 import type { Target } from '@jasmineroute/knowledge';
 import { EventFramer } from '../answer/index.js';
@@ -57,7 +57,7 @@
       }
     } catch (error) {
       wire.abandon();
-      return interrupted(broken(error));
+      return interrupted(brokenStreamFault(error));
     } finally {
       for (const end of stopWatching) end();
     }
--- a/packages/rollout/src/rollout.ts
+++ b/packages/rollout/src/rollout.ts
@@ -1,7 +1,7 @@
 /** Role of the process beside a target. */
 import { runLasting } from '@jasmineroute/core';
 import { ChangeSignal, Controls, TurnClient } from '@jasmineroute/directory';
-import { Follower, Knowledge, ReportSender } from '@jasmineroute/knowledge';
+import { Follower, ClusterView, ReportSender } from '@jasmineroute/knowledge';
 import type { Readiness, RoleContext, RoleProcess } from '@jasmineroute/protocol';
 import { rolloutEvents } from './events.js';
 import { Announcer, CacheReporter, LoadReporter, Observer, WeightsUpdater } from './sidecar/index.js';
@@ -42,13 +42,13 @@
     private readonly target: ManagedTarget,
   ) {
     const { name, incarnation, controls, peers, clock, log, metrics, dataCentre } = context;
-    const knowledge = new Knowledge(clock, log);
+    const knowledge = new ClusterView(clock, log);
     const changes = new ChangeSignal();
-    knowledge.onNews(() => {
+    knowledge.onEvent(() => {
       changes.raise();
     });
     const followerParts = { name, role: 'agent', listener: knowledge, peers, clock, log } as const;
-    this.follower = new Follower({ ...followerParts, controls, most: FOLLOWED_CONTROLS });
+    this.follower = new Follower({ ...followerParts, controls, maxFollowed: FOLLOWED_CONTROLS });
     const attemptMs = TURN_ATTEMPT_TIMEOUT_MS;
     const turns = new TurnClient(new Controls({ controls, peers, clock, metrics, dataCentre, attemptMs }));
     const observer = new Observer(() => this.follower.controls(), peers, log);
--- a/packages/rollout/src/sidecar/announcer.spec.ts
+++ b/packages/rollout/src/sidecar/announcer.spec.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf';
 import { ManualClock, fault, silentLog } from '@jasmineroute/core';
 import { ChangeSignal } from '@jasmineroute/directory';
-import { Knowledge } from '@jasmineroute/knowledge';
+import { ClusterView } from '@jasmineroute/knowledge';
 import { Peers, controlMessage, listen } from '@jasmineroute/protocol';
 import type { RpcServer } from '@jasmineroute/protocol';
 import { err, ok } from 'neverthrow';
@@ -15,7 +15,7 @@
   let server: RpcServer;
   let peers: Peers;
   let announced: controlMessage.AnnouncedTarget[];
-  let knowledge: Knowledge;
+  let knowledge: ClusterView;
   let isUp: boolean;
   let isServing: boolean;
   let checks: string[];
@@ -35,7 +35,7 @@
       });
     });
     peers = new Peers();
-    knowledge = new Knowledge(clock, silentLog);
+    knowledge = new ClusterView(clock, silentLog);
   });
 
   afterEach(async () => {
--- a/packages/rollout/src/sidecar/announcer.ts
+++ b/packages/rollout/src/sidecar/announcer.ts
@@ -1,7 +1,7 @@
 /** Announces the target beside this process while no control instance reports it. */
 import type { ChangeSignal } from '@jasmineroute/directory';
-import { Teller } from '@jasmineroute/knowledge';
-import type { Knowledge, TellerParts } from '@jasmineroute/knowledge';
+import { FailoverClient } from '@jasmineroute/knowledge';
+import type { ClusterView, FailoverParts } from '@jasmineroute/knowledge';
 import { startFields } from '@jasmineroute/protocol';
 import { rolloutEvents } from '../events.js';
 import type { TargetIdentity, TargetPort } from '../port/index.js';
@@ -22,13 +22,13 @@
 const IDENTITY_INTERVAL_MS = 2_000;
 
 /** Dependencies of the announcer. */
-export interface AnnouncerParts extends TellerParts {
+export interface AnnouncerParts extends FailoverParts {
   /** host:port of the target. */
   readonly address: string;
   readonly service: string;
   readonly dataCentre: string;
   readonly port: TargetPort;
-  readonly knowledge: Knowledge;
+  readonly knowledge: ClusterView;
   /** Raised with each event of a control instance. */
   readonly changes: ChangeSignal;
 }
@@ -40,10 +40,10 @@
  */
 export class Announcer {
   private readonly stopped = new AbortController();
-  private readonly client: Teller;
+  private readonly client: FailoverClient;
 
   constructor(private readonly parts: AnnouncerParts) {
-    this.client = new Teller(parts);
+    this.client = new FailoverClient(parts);
   }
 
   /** Runs until `stop`. */
@@ -92,7 +92,7 @@
     const { capacity } = identity;
     const place = { address, service, dataCentre, capacity };
     const announced = { ...startFields(identity), ...place, weights: versions };
-    const control = await this.client.tell((client, options) => client.announce(announced, options));
+    const control = await this.client.call((client, options) => client.announce(announced, options));
     return control !== undefined;
   }
 }
--- a/packages/rollout/src/sidecar/loadReporter.ts
+++ b/packages/rollout/src/sidecar/loadReporter.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import { ProblemTally } from '@jasmineroute/core';
 import type { Clock, Log } from '@jasmineroute/core';
-import type { Knowledge, ReportSender } from '@jasmineroute/knowledge';
+import type { ClusterView, ReportSender } from '@jasmineroute/knowledge';
 import { controlMessage } from '@jasmineroute/protocol';
 import { rolloutEvents } from '../events.js';
 import type { TargetPort } from '../port/index.js';
@@ -22,7 +22,7 @@
 export interface LoadReporterParts {
   readonly address: string;
   readonly port: TargetPort;
-  readonly knowledge: Knowledge;
+  readonly knowledge: ClusterView;
   readonly sender: ReportSender;
   readonly clock: Clock;
   readonly log: Log;
--- a/packages/rollout/src/sidecar/weightsUpdater.spec.ts
+++ b/packages/rollout/src/sidecar/weightsUpdater.spec.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf';
 import { ManualClock, fault, silentLog } from '@jasmineroute/core';
 import { ChangeSignal } from '@jasmineroute/directory';
-import { Knowledge } from '@jasmineroute/knowledge';
+import { ClusterView } from '@jasmineroute/knowledge';
 import { controlMessage } from '@jasmineroute/protocol';
 import { err, ok } from 'neverthrow';
 import { beforeEach, describe, expect, it } from 'vitest';
@@ -60,7 +60,7 @@
 describe('the updater of weights', () => {
   let clock: ManualClock;
   let target: FakeTarget;
-  let knowledge: Knowledge;
+  let knowledge: ClusterView;
   let observations: Observation[];
   let granted: boolean;
   let fence: bigint;
@@ -72,7 +72,7 @@
   beforeEach(() => {
     clock = new ManualClock();
     target = new FakeTarget(clock);
-    knowledge = new Knowledge(clock, silentLog);
+    knowledge = new ClusterView(clock, silentLog);
     observations = [];
     granted = true;
     fence = 0n;
--- a/packages/rollout/src/sidecar/weightsUpdater.ts
+++ b/packages/rollout/src/sidecar/weightsUpdater.ts
@@ -3,7 +3,7 @@
 import type { TurnSource } from '@jasmineroute/agent';
 import type { Clock, Log } from '@jasmineroute/core';
 import type { ChangeSignal } from '@jasmineroute/directory';
-import type { Knowledge, Target } from '@jasmineroute/knowledge';
+import type { ClusterView, Target } from '@jasmineroute/knowledge';
 import { rolloutEvents } from '../events.js';
 import type { TargetPort, TargetReport } from '../port/index.js';
 import type { Observer } from './observer.js';
@@ -80,7 +80,7 @@
   /** Time after the request of newer weights from which on no run may start on older ones, milliseconds. */
   readonly weightsLimitMs: number;
   readonly port: TargetPort;
-  readonly knowledge: Knowledge;
+  readonly knowledge: ClusterView;
   readonly turns: TurnSource;
   readonly observer: Pick<Observer, 'tell'>;
   /** Raised with each event of a control instance. */
--- a/packages/rollout/src/unattended/unattendedTargets.spec.ts
+++ b/packages/rollout/src/unattended/unattendedTargets.spec.ts
@@ -1,6 +1,6 @@
 import { create } from '@bufbuild/protobuf';
 import { ManualClock, silentLog } from '@jasmineroute/core';
-import { Knowledge } from '@jasmineroute/knowledge';
+import { ClusterView } from '@jasmineroute/knowledge';
 import { controlMessage } from '@jasmineroute/protocol';
 import { err, ok } from 'neverthrow';
 import { fault } from '@jasmineroute/core';
@@ -10,7 +10,7 @@
 
 describe('targets without a process beside them', () => {
   let clock: ManualClock;
-  let knowledge: Knowledge;
+  let knowledge: ClusterView;
   /** Targets that the process beside them reports. */
   let reported: Set<string>;
   let leads: boolean;
@@ -33,7 +33,7 @@
 
   beforeEach(() => {
     clock = new ManualClock();
-    knowledge = new Knowledge(clock, silentLog);
+    knowledge = new ClusterView(clock, silentLog);
     reported = new Set();
     ordered = [];
     leads = true;
--- a/packages/rollout/src/unattended/unattendedTargets.ts
+++ b/packages/rollout/src/unattended/unattendedTargets.ts
@@ -3,7 +3,7 @@
 import { runLasting } from '@jasmineroute/core';
 import type { Clock, Log } from '@jasmineroute/core';
 import { ChangeSignal } from '@jasmineroute/directory';
-import type { Knowledge, Target } from '@jasmineroute/knowledge';
+import type { ClusterView, Target } from '@jasmineroute/knowledge';
 import { rolloutEvents } from '../events.js';
 import { WeightsUpdater } from '../sidecar/index.js';
 import type { Observer } from '../sidecar/index.js';
@@ -32,7 +32,7 @@
 export interface UnattendedParts extends RemoteOrders {
   readonly name: string;
   readonly incarnation: bigint;
-  readonly knowledge: Knowledge;
+  readonly knowledge: ClusterView;
   readonly turns: TurnSource;
   readonly observer: Pick<Observer, 'tell'>;
   /** Whether the process beside a target has reported within the last `withinMs`. */
@@ -57,7 +57,7 @@
   private readonly changes = new ChangeSignal();
 
   constructor(private readonly parts: UnattendedParts) {
-    parts.knowledge.onNews(() => {
+    parts.knowledge.onEvent(() => {
       this.changes.raise();
     });
   }
--- a/packages/routing/src/admission/admission.spec.ts
+++ b/packages/routing/src/admission/admission.spec.ts
@@ -4,7 +4,7 @@
 import type { Result } from 'neverthrow';
 import type { AdmissionRules, CustomerRules } from '../limit/index.js';
 import { Admission } from './admission.js';
-import type { Demand, Permit } from './admission.js';
+import type { AdmissionRequest, Permit } from './admission.js';
 
 interface TestSetup {
   readonly clock: ManualClock;
@@ -28,7 +28,7 @@
   return made;
 }
 
-const requestOf = (customer: string, more: Partial<Demand> = {}): Demand => ({
+const requestOf = (customer: string, more: Partial<AdmissionRequest> = {}): AdmissionRequest => ({
   customer,
   priority: 50,
   deadlineMs: 10_000,
--- a/packages/routing/src/admission/admission.ts
+++ b/packages/routing/src/admission/admission.ts
@@ -11,7 +11,7 @@
 import { ConcurrencyWindow } from './window.js';
 
 /** A request for admission. */
-export interface Demand {
+export interface AdmissionRequest {
   readonly customer: string;
   /** Higher priorities are served first. */
   readonly priority: number;
@@ -40,7 +40,7 @@
 
 /** A queued request and the callback for its result. */
 interface QueuedRequest extends QueueItem {
-  readonly request: Demand;
+  readonly request: AdmissionRequest;
   readonly arrivedAt: number;
   readonly resolve: (result: Result<Permit, Fault>) => void;
 }
@@ -78,7 +78,7 @@
   }
 
   /** Resolves with a permit, or with a fault when the request is refused at once or its deadline passes in the queue. */
-  admit(request: Demand): Promise<Result<Permit, Fault>> {
+  admit(request: AdmissionRequest): Promise<Result<Permit, Fault>> {
     if (request.signal?.aborted === true) return Promise.resolve(err(cancelled()));
     const rules = this.options.rules();
     const customer = rules.customers.get(request.customer) ?? DEFAULT_RULES;
@@ -110,7 +110,11 @@
     return (this.queue.countAhead(priority) + 1) * this.intervalMs;
   }
 
-  private enqueue(request: Demand, share: number, capacity: number): Promise<Result<Permit, Fault>> {
+  private enqueue(
+    request: AdmissionRequest,
+    share: number,
+    capacity: number,
+  ): Promise<Result<Permit, Fault>> {
     return new Promise((resolve) => {
       const queued: QueuedRequest = {
         customer: request.customer,
@@ -168,7 +172,7 @@
     queued.resolve(err(refusal));
   }
 
-  private issuePermit(request: Demand, waitedMs: number): Permit {
+  private issuePermit(request: AdmissionRequest, waitedMs: number): Permit {
     this.inFlight += 1;
     let held = true;
     return {
--- a/packages/routing/src/firstToken/firstToken.spec.ts
+++ b/packages/routing/src/firstToken/firstToken.spec.ts
@@ -8,7 +8,7 @@
   const model = new FirstTokenModel();
   for (let n = 0; n < prompts; n += 1) {
     const tokens = 500 * 120 ** random();
-    model.came(`t${n % 6}`, tokens, (baseMs + tokenMs * tokens) * (0.75 + random() / 2));
+    model.record(`t${n % 6}`, tokens, (baseMs + tokenMs * tokens) * (0.75 + random() / 2));
   }
   return model;
 }
@@ -40,16 +40,16 @@
 
   it('detects a slow target and its recovery', () => {
     const model = trainedModel(45, 0.0075);
-    for (let n = 0; n < 30; n += 1) model.came('slow', 5_000, 250);
+    for (let n = 0; n < 30; n += 1) model.record('slow', 5_000, 250);
     expect(model.predict('slow', 5_000) / model.predict('t1', 5_000)).toBeGreaterThan(1.5);
-    for (let n = 0; n < 60; n += 1) model.came('slow', 5_000, 82);
+    for (let n = 0; n < 60; n += 1) model.record('slow', 5_000, 82);
     expect(model.predict('slow', 5_000) / model.predict('t1', 5_000)).toBeLessThan(1.4);
   });
 
   it('gives a single request that hangs little weight', () => {
     const model = trainedModel(45, 0.0075);
     const before = model.predict('t1', 10_000);
-    model.came('t2', 10_000, 30_000);
+    model.record('t2', 10_000, 30_000);
     expect(model.predict('t1', 10_000)).toBeLessThan(before * 1.2);
   });
 });
--- a/packages/routing/src/firstToken/firstToken.ts
+++ b/packages/routing/src/firstToken/firstToken.ts
@@ -76,7 +76,7 @@
   }
 
   /** Records a first token that arrived `ms` after its request was sent, with `tokens` to prefill before it. */
-  came(targetId: string, tokens: number, ms: number): void {
+  record(targetId: string, tokens: number, ms: number): void {
     const sample = { tokens, ms: Math.max(1, ms) };
     this.updateFactor(targetId, sample);
     this.samples.push(sample);
@@ -95,7 +95,7 @@
   }
 
   /** Removes targets that are not in `ids`. */
-  keep(ids: ReadonlySet<string>): void {
+  retain(ids: ReadonlySet<string>): void {
     for (const id of this.factors.keys()) if (!ids.has(id)) this.factors.delete(id);
   }
 
--- a/packages/routing/src/target/prefillTurns.spec.ts
+++ b/packages/routing/src/target/prefillTurns.spec.ts
@@ -29,7 +29,7 @@
   cachedBlocks: (chain: Chain) => number,
   atOnce = 2,
   clock = new ManualClock(),
-): PrefillTurns => new PrefillTurns({ cachedBlocks, atOnce, clock });
+): PrefillTurns => new PrefillTurns({ cachedBlocks, maxConcurrent: atOnce, clock });
 
 describe('PrefillTurns', () => {
   it('computes a new prefix once for simultaneous requests', async () => {
--- a/packages/routing/src/target/prefillTurns.ts
+++ b/packages/routing/src/target/prefillTurns.ts
@@ -26,7 +26,7 @@
   /** Number of leading blocks of a chain that the target has cached now. */
   readonly cachedBlocks: (chain: Chain) => number;
   /** Maximum number of requests without a first token at the engine. */
-  readonly atOnce: number;
+  readonly maxConcurrent: number;
 }
 
 interface QueuedPrefill {
@@ -38,7 +38,7 @@
 }
 
 /** Default limit: the engine has the next request queued when a prefill is done, so that it does not idle. */
-export const PREFILLS_AT_ONCE = 2;
+export const MAX_CONCURRENT_PREFILLS = 2;
 
 /**
  * Timeout of a turn: this factor times the expected prefill, plus a margin. A response that is not streamed has its
@@ -98,7 +98,7 @@
   }
 
   private startNext(): void {
-    while (this.active.size < this.options.atOnce) {
+    while (this.active.size < this.options.maxConcurrent) {
       const next = this.findNext();
       if (next === undefined) return;
       const [attemptId, turn] = next;
