--- a/packages/control/src/recent/gathering.spec.ts
+++ b/packages/control/src/recent/coalescer.spec.ts
@@ -1,6 +1,6 @@
 import { ManualClock } from '@jasmineroute/core';
 import { describe, expect, it } from 'vitest';
-import { Coalescer } from './gathering.js';
+import { Coalescer } from './coalescer.js';
 
 describe('coalescing of changes', () => {
   it('calls back once for all changes within its delay', async () => {
--- a/packages/control/src/recent/index.ts
+++ b/packages/control/src/recent/index.ts
@@ -1,2 +1,2 @@
-export * from './gathering.js';
-export * from './recentBoard.js';
+export * from './coalescer.js';
+export * from './recentReports.js';
--- a/packages/control/src/recent/recentBoard.spec.ts
+++ b/packages/control/src/recent/recentReports.spec.ts
@@ -2,7 +2,7 @@
 import { ManualClock } from '@jasmineroute/core';
 import { controlMessage } from '@jasmineroute/protocol';
 import { describe, expect, it } from 'vitest';
-import { RecentReports } from './recentBoard.js';
+import { RecentReports } from './recentReports.js';
 
 const load = (targetId: string, running: number): controlMessage.TargetLoad =>
   create(controlMessage.TargetLoadSchema, { targetId, running, waiting: 0 });
--- a/packages/control/src/stores/index.ts
+++ b/packages/control/src/stores/index.ts
@@ -1,1 +1,1 @@
-export * from './storeWatch.js';
+export * from './storeMonitor.js';
--- a/packages/control/src/stores/storeWatch.spec.ts
+++ b/packages/control/src/stores/storeMonitor.spec.ts
@@ -5,7 +5,7 @@
 import { ConfigurationState } from '../configuration/index.js';
 import { applyOne } from '../fixture/index.js';
 import { createState } from '../role/index.js';
-import { StoreMonitor } from './storeWatch.js';
+import { StoreMonitor } from './storeMonitor.js';
 
 const STORE = '10.0.0.9:80';
 
