--- a/packages/agent/src/order/index.ts
+++ b/packages/agent/src/order/index.ts
@@ -1,4 +1,4 @@
-/** Orders to the target: from the documents to what the engine has loaded. */
+/** Orders that bring the models loaded by the engine in line with the document. */
 export * from './assignment.js';
 export * from './executor.js';
 export * from './serving.js';
--- a/packages/agent/src/order/serving.ts
+++ b/packages/agent/src/order/serving.ts
@@ -1,28 +1,28 @@
-/** Whether another target serves a model: asked of its gate, not read from a view that may be old. */
+/** Probes the gates of other targets for whether they serve a model, as the view may be out of date. */
 import { createClient } from '@connectrpc/connect';
 import type { Clock } from '@jasmineroute/core';
 import type { Instance, View } from '@jasmineroute/directory';
 import { gateMessage } from '@jasmineroute/protocol';
 import type { Peers } from '@jasmineroute/protocol';
 
-/** Longest wait for a gate's answer. */
+/** Timeout of one probe. */
 const PROBE_TIMEOUT_MS = 500;
 
-/** Gates that are asked at most. */
-const MAX_ASKED = 4;
+/** Targets that are probed at most. */
+const MAX_PROBES = 4;
 
-/** What asking needs. */
+/** What the probes need. */
 export interface ServingOptions {
   readonly service: string;
-  /** This target, which is not asked. */
+  /** Name of this target, which is not probed. */
   readonly self: string;
   readonly view: () => View;
   readonly peers: Pick<Peers, 'transport'>;
   readonly clock: Clock;
 }
 
-/** Targets that say in the view that they have a model's version. */
-export function candidates(options: ServingOptions, model: string, version: string): Instance[] {
+/** Other targets that have a model's version loaded according to the view. */
+export function targetsWith(options: ServingOptions, model: string, version: string): Instance[] {
   const { service, self, view } = options;
   return [...view().instances.values()].filter(({ name, health, target }) => {
     if (name === self || health !== 'alive' || target?.service !== service || !target.ready) return false;
@@ -30,35 +30,40 @@
   });
 }
 
-async function accepts(
+async function isAccepting(
   options: ServingOptions,
   address: string,
   model: string,
   version: string,
 ): Promise<boolean> {
   const { peers, service, clock } = options;
-  const bound = new AbortController();
-  const calledOff = clock.after(PROBE_TIMEOUT_MS, () => {
-    bound.abort(new Error('no answer in time'));
+  const timeout = new AbortController();
+  const cancelTimer = clock.after(PROBE_TIMEOUT_MS, () => {
+    timeout.abort(new Error('the probe timed out'));
   });
   try {
     const client = createClient(gateMessage.Gate, peers.transport(address));
-    const answer = await client.probe({ service, model, weightsVersion: version }, { signal: bound.signal });
+    const answer = await client.probe(
+      { service, model, weightsVersion: version },
+      { signal: timeout.signal },
+    );
     return answer.accepting;
   } catch {
     return false;
   } finally {
-    calledOff();
+    cancelTimer();
   }
 }
 
-/** How many other targets accept work for a model's version; a few of them are asked. */
-export async function othersServing(
+/** Number of other targets that accept runs for a model's version; probes at most `MAX_PROBES`. */
+export async function countOthersServing(
   options: ServingOptions,
   model: string,
   version: string,
 ): Promise<number> {
-  const asked = candidates(options, model, version).slice(0, MAX_ASKED);
-  const answers = await Promise.all(asked.map(({ address }) => accepts(options, address, model, version)));
+  const probed = targetsWith(options, model, version).slice(0, MAX_PROBES);
+  const answers = await Promise.all(
+    probed.map(({ address }) => isAccepting(options, address, model, version)),
+  );
   return answers.filter((accepting) => accepting).length;
 }
--- a/packages/agent/src/order/settled.ts
+++ b/packages/agent/src/order/settled.ts
@@ -1,9 +1,9 @@
-/** A list of names that follows changes only once they have lasted. */
+/** Debounces changes of a list of names. */
 import type { Clock } from '@jasmineroute/core';
 
 /**
- * Without it, a target that is gone for a few seconds would make others unload and load weights, minutes of
- * work each, and again when it is back.
+ * Adopts a list once it has stayed the same for `settleMs`. Without this, a target that is absent for a few
+ * seconds would make others unload and load weights, which takes minutes, and again when it returns.
  */
 export class SettledNames {
   private settled: readonly string[] | undefined;
@@ -15,7 +15,7 @@
     private readonly settleMs: number,
   ) {}
 
-  /** Takes the newest list. @returns the settled one; undefined until there is one. */
+  /** Records the current list. @returns the settled list; undefined until there is one. */
   update(names: readonly string[]): readonly string[] | undefined {
     const text = JSON.stringify(names);
     const now = this.clock.monotonic();
--- a/packages/agent/src/order/step.ts
+++ b/packages/agent/src/order/step.ts
@@ -1,51 +1,51 @@
-/** Steps from what an engine has loaded to what it is to have. */
+/** Steps from the models that an engine has loaded to those that it should have. */
 import type { Model } from '@jasmineroute/document';
 import type { EngineModel, EngineOrder } from '@jasmineroute/engine';
 
-/** What carrying a step out needs. */
+/** One order and what has to hold before it is sent. */
 export interface Step {
   readonly order: EngineOrder;
   readonly model: string;
-  /** Weights come from the store, which is rate-limited. */
-  readonly fetches: boolean;
+  /** Whether it loads weights from the weight store, whose concurrent loads are limited. */
+  readonly fetchesWeights: boolean;
   /**
-   * The model's old weights go: somebody else must serve it meanwhile. `wanted` is the version that the
-   * document asks for; undefined when it does not have the model any more.
+   * Set when the step removes the loaded weights of the model, which another target must serve meanwhile.
+   * `wanted` is the version in the document; undefined when the document no longer has the model.
    */
-  readonly takesAway?: { readonly loaded: string; readonly wanted: string | undefined };
+  readonly removedWeights?: { readonly loaded: string; readonly wanted: string | undefined };
 }
 
-/** What steps are made from. */
-export interface Situation {
+/** What the steps are computed from. */
+export interface ReconcileInput {
   /** All models of the document. */
   readonly models: readonly Model[];
-  /** Those that this target is to have. */
+  /** Models assigned to this target. */
   readonly wanted: readonly Model[];
   readonly loaded: readonly EngineModel[];
 }
 
-function unloads({ models, wanted, loaded }: Situation): Step[] {
+function unloads({ models, wanted, loaded }: ReconcileInput): Step[] {
   return loaded
     .filter(({ model }) => !wanted.some(({ name }) => name === model))
     .map(({ model, version }) => ({
       order: { type: 'unload-model', model, version },
       model,
-      fetches: false,
-      takesAway: { loaded: version, wanted: models.find(({ name }) => name === model)?.version },
+      fetchesWeights: false,
+      removedWeights: { loaded: version, wanted: models.find(({ name }) => name === model)?.version },
     }));
 }
 
-function loads({ wanted, loaded }: Situation): Step[] {
+function loads({ wanted, loaded }: ReconcileInput): Step[] {
   return wanted
     .filter(({ name }) => !loaded.some(({ model }) => model === name))
     .map(({ name, version }) => ({
       order: { type: 'load-model', model: name, version },
       model: name,
-      fetches: true,
+      fetchesWeights: true,
     }));
 }
 
-function replacements({ wanted, loaded }: Situation): Step[] {
+function replacements({ wanted, loaded }: ReconcileInput): Step[] {
   return wanted.flatMap(({ name, version }): Step[] => {
     const old = loaded.find(({ model }) => model === name);
     if (old === undefined || old.version === version) return [];
@@ -53,8 +53,8 @@
       {
         order: { type: 'load-model', model: name, version },
         model: name,
-        fetches: true,
-        takesAway: { loaded: old.version, wanted: version },
+        fetchesWeights: true,
+        removedWeights: { loaded: old.version, wanted: version },
       },
     ];
   });
@@ -70,24 +70,24 @@
     ...missing.map(({ name, version }): Step => ({
       order: { type: 'load-adapter', model, name, version },
       model,
-      fetches: true,
+      fetchesWeights: true,
     })),
     ...spare.map(({ name, version }): Step => ({
       order: { type: 'unload-adapter', model, name, version },
       model,
-      fetches: false,
+      fetchesWeights: false,
     })),
   ];
 }
 
-function adapters({ wanted, loaded }: Situation): Step[] {
+function adapters({ wanted, loaded }: ReconcileInput): Step[] {
   return wanted.flatMap((model) => {
     const has = loaded.find((one) => one.model === model.name && one.version === model.version);
     return has === undefined ? [] : adapterSteps(model, has);
   });
 }
 
-/** Steps in the order in which they are tried: memory is freed before it is filled. */
-export function stepsOf(situation: Situation): Step[] {
-  return [unloads, loads, adapters, replacements].flatMap((part) => part(situation));
+/** Steps in the order in which they are tried: unloading first, to free memory for loads. */
+export function stepsOf(input: ReconcileInput): Step[] {
+  return [unloads, loads, adapters, replacements].flatMap((part) => part(input));
 }
--- a/packages/agent/src/order/stepTurns.ts
+++ b/packages/agent/src/order/stepTurns.ts
@@ -1,11 +1,11 @@
-/** The turns that a step needs before it may be carried out. */
+/** The turns that a step needs before it may be executed. */
 import type { Clock } from '@jasmineroute/core';
 import type { View } from '@jasmineroute/directory';
 import type { Step } from './step.js';
 import { Turn } from './turn.js';
 import type { TurnSource } from './turn.js';
 
-/** What taking turns needs. */
+/** Dependencies for taking the turns of a step. */
 export interface StepTurnsOptions {
   readonly service: string;
   /** Name and incarnation of this agent. */
@@ -14,62 +14,62 @@
   readonly turns: TurnSource;
   readonly view: () => View;
   readonly clock: Clock;
-  /** How many other targets accept work for a model's version, asked of them directly. */
-  readonly othersServing: (model: string, version: string) => Promise<number>;
+  /** Number of other targets that accept runs for a model's version, found by probing them. */
+  readonly countOthersServing: (model: string, version: string) => Promise<number>;
 }
 
-/** The turns for a step. */
-export interface Turns {
+/** The turns held for a step. */
+export interface HeldTurns {
   readonly all: readonly Turn[];
-  /** The right to give this target orders; its fence goes out with them. */
-  readonly lease: Turn;
+  /** The exclusive right to order this target; its fence is sent with the order. */
+  readonly targetTurn: Turn;
 }
 
-/** Other servers of the new weights from which on targets replace theirs side by side. */
-const WELL_SERVED = 2;
+/** Number of other targets with the new weights from which on targets may replace theirs concurrently. */
+const MIN_OTHER_SERVERS = 2;
 
-/** Takes turns. */
+/** Takes the turns for steps. */
 export class StepTurns {
   constructor(private readonly options: StepTurnsOptions) {}
 
-  /** Takes all turns for a step or none; those that are most likely taken come first. */
-  async take(step: Step): Promise<Turns | undefined> {
+  /** Takes all turns for a step or none. Those most likely to be held by others come first. */
+  async take(step: Step): Promise<HeldTurns | undefined> {
     const { service, name } = this.options;
     const held: Turn[] = [];
     for (const [turnName, limit] of await this.sharedTurns(step)) {
-      const turn = await this.one(turnName, limit);
-      if (turn === undefined) return this.giveBack(held);
+      const turn = await this.takeTurn(turnName, limit);
+      if (turn === undefined) return this.releaseAll(held);
       held.push(turn);
     }
-    // One executor for each target: a paused older process keeps its turn until it must have noticed.
-    const lease = await this.one(`target/${service}/${name}`, 1);
-    if (lease === undefined) return this.giveBack(held);
-    return { all: [...held, lease], lease };
+    // One executor per target: the turn of a paused older process ends only after that process has seen it expire.
+    const targetTurn = await this.takeTurn(`target/${service}/${name}`, 1);
+    if (targetTurn === undefined) return this.releaseAll(held);
+    return { all: [...held, targetTurn], targetTurn };
   }
 
   private async sharedTurns(step: Step): Promise<[string, number][]> {
     const { service } = this.options;
-    const wishes: [string, number][] = [];
-    if (step.fetches) wishes.push([`weights/${service}`, this.concurrentLoads()]);
-    // Two targets that each see the other serve the model must not both take it away.
-    if (step.takesAway !== undefined && !(await this.wellServed(step))) {
-      wishes.push([`rollout/${service}/${step.model}`, 1]);
+    const needed: [string, number][] = [];
+    if (step.fetchesWeights) needed.push([`weights/${service}`, this.concurrentLoads()]);
+    // Two targets that see each other serve the model must not both remove it.
+    if (step.removedWeights !== undefined && !(await this.isWellServed(step))) {
+      needed.push([`rollout/${service}/${step.model}`, 1]);
     }
-    return wishes;
+    return needed;
   }
 
-  private async giveBack(held: readonly Turn[]): Promise<undefined> {
+  private async releaseAll(held: readonly Turn[]): Promise<undefined> {
     for (const turn of held) await turn.release();
     return undefined;
   }
 
   /**
-   * Whether new weights may replace old ones without the turn of the rollout. One other server is not enough:
-   * it may hold that turn and be about to unload. Of two, one stays, as unloading takes the turn.
+   * Whether new weights may replace old ones without the rollout turn. One other target with the new weights is
+   * not enough: it may hold that turn and be about to unload. With two, one remains, as unloading takes the turn.
    */
-  private async wellServed({ model, order }: Step): Promise<boolean> {
+  private async isWellServed({ model, order }: Step): Promise<boolean> {
     if (order.type !== 'load-model') return false;
-    return (await this.options.othersServing(model, order.version)) >= WELL_SERVED;
+    return (await this.options.countOthersServing(model, order.version)) >= MIN_OTHER_SERVERS;
   }
 
   private concurrentLoads(): number {
@@ -77,7 +77,7 @@
     return document?.kind === 'model' ? document.weights.concurrentLoads : 1;
   }
 
-  private one(name: string, limit: number): Promise<Turn | undefined> {
+  private takeTurn(name: string, limit: number): Promise<Turn | undefined> {
     const { turns, clock, name: holder, incarnation } = this.options;
     return Turn.take(turns, clock, { name, holder, incarnation, limit });
   }
--- a/packages/agent/src/order/turn.ts
+++ b/packages/agent/src/order/turn.ts
@@ -1,21 +1,21 @@
-/** A turn that is held: renewed until it is given back, and known to be lost when it is. */
+/** A held turn: a lease with a fencing number that is renewed until it is released, lost or left to expire. */
 import type { Clock, Fault } from '@jasmineroute/core';
 import type { TakeRequest } from '@jasmineroute/directory';
 import type { Result } from 'neverthrow';
 
-/** How long a turn lasts without being renewed, unless its taker wishes otherwise. */
+/** Default lease time of a turn. */
 export const TURN_TTL_MS = 10_000;
 
-/** Renewals in the time of a turn: three may be lost. */
-const RENEWALS = 4;
+/** Renewals per lease time: three may be lost. */
+const RENEWALS_PER_TTL = 4;
 
-/** Longest wait for an answer. */
+/** Timeout of a call to the control instances. */
 const CALL_TIMEOUT_MS = 2_000;
 
-/** Stops acting this part of a turn's time before its end: an order must not leave at its last moment. */
-const MARGIN = 0.1;
+/** Part of the lease time before its end in which the turn no longer counts as held, so that no order is sent at the last moment. */
+const EXPIRY_MARGIN = 0.1;
 
-/** What gives turns: control's quorum. */
+/** Grants turns; in production, a quorum of control instances. */
 export interface TurnSource {
   take(
     request: TakeRequest,
@@ -27,85 +27,86 @@
   ): Promise<Result<void, Fault>>;
 }
 
-/** Who takes a turn, and which. */
-export interface TurnWish {
+/** Which turn to take, and for which holder. */
+export interface TurnRequest {
   readonly name: string;
   readonly holder: string;
   readonly incarnation: bigint;
+  /** Most holders at once. */
   readonly limit: number;
-  /** How long it lasts without being renewed, milliseconds; `TURN_TTL_MS` when absent. */
+  /** Lease time, milliseconds; `TURN_TTL_MS` when absent. */
   readonly ttlMs?: number;
 }
 
-/** A turn that was granted. */
+/** A granted turn. */
 export class Turn {
   private readonly ended = new AbortController();
 
   private constructor(
     private readonly source: TurnSource,
     private readonly clock: Clock,
-    private readonly wish: TurnWish,
+    private readonly request: TurnRequest,
     readonly fence: bigint,
-    private until: number,
+    private expiresAt: number,
     private readonly ttlMs: number,
   ) {}
 
-  /** Aborts when the turn is lost or given back. */
+  /** Aborts when the turn is lost, released or left to expire. */
   get signal(): AbortSignal {
     return this.ended.signal;
   }
 
-  /** Whether there is time left to act in. */
+  /** Whether the holder may still act under the turn. */
   get held(): boolean {
-    return !this.ended.signal.aborted && this.clock.monotonic() < this.until - MARGIN * this.ttlMs;
+    return !this.ended.signal.aborted && this.clock.monotonic() < this.expiresAt - EXPIRY_MARGIN * this.ttlMs;
   }
 
-  /** Takes a turn. @returns undefined when others have it, or no quorum answers. */
-  static async take(source: TurnSource, clock: Clock, wish: TurnWish): Promise<Turn | undefined> {
-    // Counted from before the request left: the grant may be older than its answer.
-    const asked = clock.monotonic();
-    const ttlMs = wish.ttlMs ?? TURN_TTL_MS;
-    const answer = await source.take({ ...wish, ttlMs }, CALL_TIMEOUT_MS);
+  /** Takes a turn. @returns undefined when others hold it or no quorum answers. */
+  static async take(source: TurnSource, clock: Clock, request: TurnRequest): Promise<Turn | undefined> {
+    // The lease is counted from before the request was sent, as the grant is older than its answer.
+    const requestedAt = clock.monotonic();
+    const ttlMs = request.ttlMs ?? TURN_TTL_MS;
+    const answer = await source.take({ ...request, ttlMs }, CALL_TIMEOUT_MS);
     if (answer.isErr() || !answer.value.granted) return undefined;
-    const turn = new Turn(source, clock, wish, answer.value.fence, asked + ttlMs, ttlMs);
+    const turn = new Turn(source, clock, request, answer.value.fence, requestedAt + ttlMs, ttlMs);
     void turn.renew();
     return turn;
   }
 
   /**
-   * Asks the quorum whether it is still held, and renews it. After a suspension the monotonic clock stood still, so that its
-   * own time says nothing.
+   * Renews the turn and returns whether it is still held. Needed after the machine was suspended: the monotonic
+   * clock stood still meanwhile, so the local expiry time cannot be relied on.
    */
   async confirm(): Promise<boolean> {
     if (!this.held) return false;
-    const { clock, source, wish, ttlMs } = this;
-    const asked = clock.monotonic();
-    const answer = await source.take({ ...wish, ttlMs }, CALL_TIMEOUT_MS);
+    const { clock, source, request, ttlMs } = this;
+    const requestedAt = clock.monotonic();
+    const answer = await source.take({ ...request, ttlMs }, CALL_TIMEOUT_MS);
     if (answer.isErr()) return false;
-    // Another fence is another grant: between the two, somebody else may have acted.
+    // A different fence means a new grant: another holder may have acted in between.
     const isSame = answer.value.granted && answer.value.fence === this.fence;
-    if (isSame) this.until = Math.max(this.until, asked + ttlMs);
+    if (isSame) this.expiresAt = Math.max(this.expiresAt, requestedAt + ttlMs);
     else this.ended.abort(new Error('the turn was lost'));
     return isSame && this.held;
   }
 
-  /** Renews it no more and does not give it back either: nobody else has it until its time is over. */
+  /** Stops renewing without releasing: no other holder gets the turn until the lease expires. */
   lapse(): void {
-    this.ended.abort(new Error('left to lapse'));
+    this.ended.abort(new Error('the turn was left to expire'));
   }
 
-  /** Gives the turn back. */
+  /** Releases the turn. */
   async release(): Promise<void> {
     if (this.ended.signal.aborted) return;
-    this.ended.abort(new Error('given back'));
-    const { name, holder, incarnation } = this.wish;
+    this.ended.abort(new Error('the turn was released'));
+    const { name, holder, incarnation } = this.request;
     await this.source.release({ name, holder, incarnation }, CALL_TIMEOUT_MS);
   }
 
   private async renew(): Promise<void> {
     while (await this.pause()) {
       if (!this.held) {
-        this.ended.abort(new Error('the turn has run out'));
+        this.ended.abort(new Error('the turn expired'));
         return;
       }
       await this.confirm();
@@ -113,7 +114,7 @@
   }
 
   private async pause(): Promise<boolean> {
-    await this.clock.sleep(this.ttlMs / RENEWALS, this.ended.signal).catch(() => undefined);
+    await this.clock.sleep(this.ttlMs / RENEWALS_PER_TTL, this.ended.signal).catch(() => undefined);
     return !this.ended.signal.aborted;
   }
 }
--- a/packages/agent/src/role/orders.ts
+++ b/packages/agent/src/role/orders.ts
@@ -3,7 +3,7 @@
 import type { DirectoryClient } from '@jasmineroute/directory';
 import type { Engine } from '@jasmineroute/engine';
 import type { RoleContext } from '@jasmineroute/protocol';
-import { Executor, othersServing } from '../order/index.js';
+import { Executor, countOthersServing } from '../order/index.js';
 import type { AgentSettings } from '../setting/index.js';
 import type { EngineWatch } from '../watch/index.js';
 
@@ -50,7 +50,7 @@
 
   /** The engine or the view has changed. */
   poke(): void {
-    this.executor.poke();
+    this.executor.notifyChange();
   }
 
   /** From now on there are no more orders. */
@@ -77,14 +77,14 @@
       metrics,
       settleMs,
       random: Math.random,
-      loaded: () => (watch.status().ready ? watch.status().state?.models : undefined),
-      othersServing: (model, version) => othersServing(serving, model, version),
+      loadedModels: () => (watch.status().ready ? watch.status().state?.models : undefined),
+      countOthersServing: (model, version) => countOthersServing(serving, model, version),
       withdraw: (model, signal) => this.withdraw(model, signal),
       restore: (model) => {
         this.out.delete(model);
         changed();
       },
-      look: () => watch.look(this.stopping.signal),
+      refreshState: () => watch.look(this.stopping.signal),
     });
   }
 
