--- a/packages/agent/src/bench/ends.ts
+++ b/packages/agent/src/bench/ends.ts
@@ -1,24 +1,24 @@
-/** The two ends of the stream benchmark: an engine that emits at a steady pace, and readers that count. */
+/** Engine and readers of the stream benchmark. The engine sends chunks at a fixed rate; the readers count them. */
 import { createServer } from 'node:http';
 import type { ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { createClient } from '@connectrpc/connect';
 import { Peers, gateMessage } from '@jasmineroute/protocol';
 
-/** Time between two tokens of one stream, as the plan has it. */
+/** Time between two tokens of one stream, milliseconds. */
 export const INTERVAL_MS = 68;
 
-/** Incarnation that the gate of the benchmark announces. */
+/** Incarnation of the target in the benchmark. */
 export const INCARNATION = 'engine/1';
 
-/** Parts in which the engine's streams are served, so that they don't all write in one turn of its loop. */
+/** Groups of streams that write at different times, so that they do not all write in one turn of the event loop. */
 const PHASES = 17;
 
-function tell(type: string, value: unknown): void {
+function sendToParent(type: string, value: unknown): void {
   process.send?.({ type, value });
 }
 
-/** An engine whose streams never end. */
+/** Runs an engine whose streams never end. */
 export async function engineMain(chunkBytes: number): Promise<void> {
   const streams: ServerResponse[] = [];
   const server = createServer((request, response) => {
@@ -38,18 +38,18 @@
     phase = (phase + 1) % PHASES;
   }, INTERVAL_MS / PHASES);
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
-  tell('ready', `http://127.0.0.1:${(server.address() as AddressInfo).port}`);
+  sendToParent('ready', `http://127.0.0.1:${(server.address() as AddressInfo).port}`);
 }
 
-/** Streams that are opened at once. */
+/** Streams that are opened concurrently. */
 const BATCH = 20;
 
-/** Readers over one connection, as an entry has it. */
+/** Runs readers over one connection, as an entry does. */
 export async function readerMain(address: string, streams: number): Promise<void> {
   const client = createClient(gateMessage.Gate, new Peers().transport(address));
   let chunks = 0;
   process.on('message', () => {
-    tell('count', chunks);
+    sendToParent('count', chunks);
   });
   const read = async (index: number, opened: () => void): Promise<void> => {
     for await (const { event } of client.run(runRequest(index))) {
@@ -65,7 +65,7 @@
     const size = Math.min(BATCH, streams - first);
     await Promise.all(Array.from({ length: size }, (_, offset) => open(first + offset)));
   }
-  tell('ready', undefined);
+  sendToParent('ready', undefined);
 }
 
 function runRequest(index: number) {
--- a/packages/agent/src/bench/stream.ts
+++ b/packages/agent/src/bench/stream.ts
@@ -1,8 +1,8 @@
 /**
- * Cost of forwarding through the gate: processor time for each chunk and memory for each open stream.
+ * Measures the cost of forwarding through the gate: CPU time per chunk and memory per open stream.
  *
  * Run after a build: `node packages/agent/dist/bench/stream.js [seconds] [streams,… [bytes,…]]`.
- * The engine and the readers are processes of their own, so that only the gate's time is counted here.
+ * The engine and the readers run in separate processes, so that only the CPU time of the gate is measured.
  */
 import { fork } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
@@ -14,7 +14,7 @@
 import { createHttpEngine } from '@jasmineroute/engine';
 import { gateMessage, listen } from '@jasmineroute/protocol';
 import { BlockIndex } from '@jasmineroute/routing';
-import { Gate, gateCoding } from '../gate/index.js';
+import { Gate, gateHandlerOptions } from '../gate/index.js';
 import { INCARNATION, INTERVAL_MS, engineMain, readerMain } from './ends.js';
 
 /** One line of the result. */
@@ -36,7 +36,7 @@
 setFlagsFromString('--expose-gc');
 const collectGarbage = runInNewContext('gc') as () => void;
 
-function child(role: string, ...rest: string[]): ChildProcess {
+function forkRole(role: string, ...rest: string[]): ChildProcess {
   const started = fork(fileURLToPath(import.meta.url), [role, ...rest]);
   started.on('exit', (code) => {
     if (code !== null && code !== 0) process.exit(code);
@@ -44,7 +44,7 @@
   return started;
 }
 
-async function message<T>(process: ChildProcess, type: string): Promise<T> {
+async function receive<T>(process: ChildProcess, type: string): Promise<T> {
   for (;;) {
     const [received] = (await once(process, 'message')) as [{ type: string; value: T }];
     if (received.type === type) return received.value;
@@ -86,39 +86,39 @@
   readonly resident: number;
 }
 
-function memory(): Memory {
+function memoryUsage(): Memory {
   collectGarbage();
   const { heapUsed, external, rss } = process.memoryUsage();
   return { heap: heapUsed + external, resident: rss };
 }
 
-async function count(reader: ChildProcess): Promise<number> {
-  const answer = message<number>(reader, 'count');
+async function chunkCount(reader: ChildProcess): Promise<number> {
+  const answer = receive<number>(reader, 'count');
   reader.send({ type: 'count' });
   return answer;
 }
 
 async function measure(streams: number, chunkBytes: number, seconds: number): Promise<Measurement> {
-  const engine = child('engine', String(chunkBytes));
-  const url = await message<string>(engine, 'ready');
+  const engine = forkRole('engine', String(chunkBytes));
+  const url = await receive<string>(engine, 'ready');
   const gate = gateFor(url);
   const server = await listen('127.0.0.1', 0, (router) => {
-    router.service(gateMessage.Gate, gate.service(), gateCoding);
+    router.service(gateMessage.Gate, gate.service(), gateHandlerOptions);
   });
-  const before = memory();
-  const reader = child('reader', server.address, String(streams));
-  await message(reader, 'ready');
+  const before = memoryUsage();
+  const reader = forkRole('reader', server.address, String(streams));
+  await receive(reader, 'ready');
   await systemClock.sleep(WARM_UP_MS);
   const [chunksBefore, cpuBefore, started] = [
-    await count(reader),
+    await chunkCount(reader),
     process.cpuUsage(),
     systemClock.monotonic(),
   ];
   await systemClock.sleep(seconds * 1_000);
   const cpu = process.cpuUsage(cpuBefore);
   const elapsed = (systemClock.monotonic() - started) / 1_000;
-  const chunks = (await count(reader)) - chunksBefore;
-  const after = memory();
+  const chunks = (await chunkCount(reader)) - chunksBefore;
+  const after = memoryUsage();
   reader.kill();
   engine.kill();
   gate.stopAll();
@@ -135,16 +135,16 @@
   };
 }
 
-function numbers(text: string | undefined, otherwise: readonly number[]): readonly number[] {
-  return text === undefined ? otherwise : text.split(',').map(Number);
+function parseNumbers(text: string | undefined, fallback: readonly number[]): readonly number[] {
+  return text === undefined ? fallback : text.split(',').map(Number);
 }
 
 async function main(): Promise<void> {
   const [seconds = '5', streamCounts, chunkSizes] = process.argv.slice(2);
   process.stdout.write(`one chunk every ${INTERVAL_MS} ms on each stream, ${seconds} s each\n`);
   const pairs = [
-    ...numbers(streamCounts, STREAM_COUNTS).map((streams) => [streams, 256] as const),
-    ...numbers(chunkSizes, CHUNK_BYTES).map((bytes) => [100, bytes] as const),
+    ...parseNumbers(streamCounts, STREAM_COUNTS).map((streams) => [streams, 256] as const),
+    ...parseNumbers(chunkSizes, CHUNK_BYTES).map((bytes) => [100, bytes] as const),
   ];
   for (const [streams, bytes] of pairs) {
     process.stdout.write(`${JSON.stringify(await measure(streams, bytes, Number(seconds)))}\n`);
--- a/packages/agent/src/gate/check.ts
+++ b/packages/agent/src/gate/check.ts
@@ -1,26 +1,26 @@
-/** The checks that a run passes before anything is sent to the target. */
+/** Checks of a run before it is sent to the target. */
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import type { gateMessage } from '@jasmineroute/protocol';
 import type { GateTarget } from './target.js';
 
-/** What a run needs loaded. */
-export type Wanted = Pick<gateMessage.RunRequest, 'model' | 'adapter' | 'weightsVersion'>;
+/** The weights that a run needs. */
+export type RequiredWeights = Pick<gateMessage.RunRequest, 'model' | 'adapter' | 'weightsVersion'>;
 
-/** A check: a fault, all of them proved not run, or nothing. */
+/** Returns a fault when the run must not be sent. All faults say that it has not run. */
 type Check = (target: GateTarget, request: gateMessage.RunRequest) => Fault | undefined;
 
-/** Whether the wanted weights are loaded and take work. */
-export function isLoaded(target: GateTarget, wanted: Wanted): boolean {
+/** Whether the required weights are loaded and accept runs. */
+export function isLoaded(target: GateTarget, required: RequiredWeights): boolean {
   if (target.kind === 'plain') return true;
-  const model = target.models().find((loaded) => loaded.model === wanted.model);
+  const model = target.models().find((loaded) => loaded.model === required.model);
   if (model === undefined) return false;
-  if (wanted.weightsVersion !== '' && model.version !== wanted.weightsVersion) return false;
-  return wanted.adapter === '' || model.adapters.some(({ name }) => name === wanted.adapter);
+  if (required.weightsVersion !== '' && model.version !== required.weightsVersion) return false;
+  return required.adapter === '' || model.adapters.some(({ name }) => name === required.adapter);
 }
 
-const checkLeaving: Check = (target) =>
-  target.leaving() ? fault('target-leaving', 'the target is leaving') : undefined;
+const checkNotLeaving: Check = (target) =>
+  target.leaving() ? fault('target-leaving', 'the target is leaving and accepts no new runs') : undefined;
 
 const checkService: Check = (target, request) =>
   request.service === target.service
@@ -31,8 +31,8 @@
   target.ready() ? undefined : fault('target-unreachable', 'the target is not ready');
 
 /**
- * Goes wrong without it: the entry decided for an engine that has restarted since, and the run would be
- * billed to a cache that is gone; or the agent has restarted and no longer knows what it cancelled.
+ * Guards against a restart since the routing decision: a restarted engine has lost the cache that the decision
+ * counted on, and a restarted agent no longer knows which attempts were cancelled.
  */
 const checkIncarnation: Check = (target, request) =>
   request.incarnation === target.incarnation()
@@ -51,7 +51,7 @@
   request.deadlineMs > 0 ? undefined : fault('deadline-unmeetable', 'the deadline has passed');
 
 const arrivalChecks: readonly Check[] = [
-  checkLeaving,
+  checkNotLeaving,
   checkService,
   checkReady,
   checkIncarnation,
@@ -59,8 +59,8 @@
   checkDeadline,
 ];
 
-/** Leaving is left out: what was accepted before is finished. */
-const sendingChecks: readonly Check[] = [checkReady, checkIncarnation, checkModel];
+/** A leaving target still runs what it accepted before, so that check is left out. */
+const dispatchChecks: readonly Check[] = [checkReady, checkIncarnation, checkModel];
 
 function firstFault(checks: readonly Check[], target: GateTarget, request: gateMessage.RunRequest) {
   for (const check of checks) {
@@ -70,12 +70,12 @@
   return undefined;
 }
 
-/** Checks a run that arrives. */
+/** Checks a run on arrival. */
 export function checkArrival(target: GateTarget, request: gateMessage.RunRequest): Fault | undefined {
   return firstFault(arrivalChecks, target, request);
 }
 
-/** Checks a run again that has waited. */
-export function checkSending(target: GateTarget, request: gateMessage.RunRequest): Fault | undefined {
-  return firstFault(sendingChecks, target, request);
+/** Checks a run again after it has waited in the queue. */
+export function checkDispatch(target: GateTarget, request: gateMessage.RunRequest): Fault | undefined {
+  return firstFault(dispatchChecks, target, request);
 }
--- a/packages/agent/src/gate/gate.ts
+++ b/packages/agent/src/gate/gate.ts
@@ -1,4 +1,4 @@
-/** The gate service: every request to the target passes here. */
+/** The gate service, through which all requests reach the target. */
 import { create } from '@bufbuild/protobuf';
 import { Code, ConnectError } from '@connectrpc/connect';
 import type { HandlerContext, ServiceImpl } from '@connectrpc/connect';
@@ -12,14 +12,14 @@
 import type { Result } from 'neverthrow';
 import { agentEvents } from '../events.js';
 import { agentMetrics } from '../metrics.js';
-import { Attempts, Run, lastEvent, ranMessages } from '../run/index.js';
+import { Attempts, Run, finalEvent, ranMessages } from '../run/index.js';
 import type { AttemptRecord, BufferBounds, RunContext } from '../run/index.js';
 import { isOfAgent } from '../watch/incarnation.js';
-import { checkArrival, checkSending, isLoaded } from './check.js';
+import { checkArrival, checkDispatch, isLoaded } from './check.js';
 import type { GateTarget } from './target.js';
 import { Workload } from './workload.js';
 
-/** Bounds of a gate, milliseconds and bytes. */
+/** Limits of a gate, in milliseconds and bytes; see the settings of the agent. */
 export interface GateBounds {
   readonly queue: number;
   readonly readerGraceMs: number;
@@ -29,7 +29,7 @@
   readonly bufferBytes: number;
 }
 
-/** What a gate needs. */
+/** Dependencies and settings of a gate. */
 export interface GateOptions {
   readonly target: GateTarget;
   readonly engine: Engine;
@@ -40,20 +40,20 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** The engine broke a connection. */
+  /** Called when the engine broke a connection, to check its state at once. */
   readonly suspect: () => void;
 }
 
 type RunEvents = AsyncIterable<gateMessage.RunEvent>;
 
-/** Largest answer that is kept whole for a run that must not be repeated. */
-const ONCE_BYTES = 1024 * 1024;
+/** Largest answer of a non-idempotent run that is kept whole. */
+const MAX_KEPT_ANSWER_BYTES = 1024 * 1024;
 
 /**
- * How the gate's messages are coded. Chunks are not compressed: they are small, and the time for it is many
- * times that of forwarding them.
+ * Handler options of the gate service. Compression is off: chunks are small, and compressing them takes many times
+ * as long as forwarding them.
  */
-export const gateCoding = { acceptCompression: [] };
+export const gateHandlerOptions = { acceptCompression: [] };
 
 /** The gate of one target. */
 export class Gate {
@@ -61,7 +61,7 @@
   private readonly workload: Workload;
   private readonly startedAt: number;
   private active = 0;
-  private idleWaiters: (() => void)[] = [];
+  private drainWaiters: (() => void)[] = [];
 
   constructor(private readonly options: GateOptions) {
     const { clock, bounds, target, index } = options;
@@ -80,33 +80,34 @@
     };
   }
 
-  /** Runs an attempt, or attaches to it when it is here already: it is never run twice. */
+  /** Starts an attempt, or attaches to it if it is already known: an attempt never runs twice. */
   run(request: gateMessage.RunRequest, context: HandlerContext): RunEvents {
     const known = this.attempts.find(request.attemptId);
-    if (known !== undefined) return this.again(request, known, context.signal);
+    if (known !== undefined) return this.attachToKnown(request, known, context.signal);
     return this.admit(request).match(
       (run) => run.read(0, context.signal),
       (cause) => this.refusal(request, cause),
     );
   }
 
-  /** Goes on with a known attempt. */
+  /** Continues reading the events of a known attempt. */
   resume(request: gateMessage.ResumeRequest, context: HandlerContext): RunEvents {
     const known = this.attempts.find(request.attemptId);
-    if (known?.type === 'ended') throw new ConnectError('the events are not kept any more', Code.OutOfRange);
-    if (known?.type !== 'run') throw new ConnectError('no such attempt here', Code.NotFound);
+    if (known?.type === 'ended')
+      throw new ConnectError('the events of the attempt are no longer kept', Code.OutOfRange);
+    if (known?.type !== 'run') throw new ConnectError('unknown attempt', Code.NotFound);
     this.options.metrics.count(agentMetrics.resumes, 1, { side: 'entry' });
     return known.run.read(Number(request.fromOrdinal), context.signal);
   }
 
-  /** Stops an attempt and says what is proved of it. */
+  /** Stops an attempt and returns whether it has run, as far as that is certain. */
   cancel(request: gateMessage.CancelRequest): { ran: gateMessage.Ran } {
-    const ran = this.cancelled(request);
+    const ran = this.cancelAttempt(request);
     this.options.metrics.count(agentMetrics.cancels, 1, { ran: gateMessage.Ran[ran] });
     return { ran };
   }
 
-  /** Says what the target has cached of a prompt, and how busy it is. */
+  /** Returns the cached part of a prompt and the load of the target. */
   probe(request: gateMessage.ProbeRequest): gateMessage.ProbeResponse {
     const { target } = this.options;
     const cachedTokens = this.workload.cachedTokens(request);
@@ -122,93 +123,98 @@
     });
   }
 
-  /** Load as messages carry it. */
+  /** The load as sent in messages. */
   load(priority: number): gateMessage.Load {
     return this.workload.load(priority);
   }
 
-  /** Readers of runs that have not ended. */
-  reading(): number {
+  /** Number of streams that read runs in progress. */
+  openReaders(): number {
     let count = 0;
-    for (const run of this.attempts.open()) count += run.reading;
+    for (const run of this.attempts.open()) count += run.openReaders;
     return count;
   }
 
-  /** Runs that the target may be at work on, for a model. */
-  sentFor(model: string): number {
+  /** Number of runs of a model that have been sent to the target and have not ended. */
+  inFlightRuns(model: string): number {
     let count = 0;
-    for (const run of this.attempts.open()) if (run.sent && run.request.model === model) count++;
+    for (const run of this.attempts.open()) if (run.isSent && run.request.model === model) count++;
     return count;
   }
 
-  /** The engine is another process: nothing that the old one worked on will ever be answered. */
+  /** Stops the runs of the previous engine process, which will never answer them. */
   engineReplaced(incarnation: string, oldSeenAt: number): void {
     for (const run of this.attempts.open()) run.engineReplaced(incarnation, oldSeenAt);
   }
 
-  /** The capacity has changed. */
-  refresh(): void {
-    this.workload.slots.refresh();
+  /** Admits waiting runs after the capacity of the target has grown. */
+  notifyCapacityChange(): void {
+    this.workload.slots.admitWaiters();
   }
 
-  /** Resolves when no run is left, and the readers have had the last events. */
-  idle(): Promise<void> {
+  /** Resolves when no run is left and the readers have received the final events. */
+  whenDrained(): Promise<void> {
     if (this.active === 0) return Promise.resolve();
     return new Promise((resolve) => {
-      this.idleWaiters.push(resolve);
+      this.drainWaiters.push(resolve);
     });
   }
 
-  /** Ends all runs at once. */
+  /** Stops all runs immediately. */
   stopAll(): void {
-    for (const run of this.attempts.open()) run.stop(fault('stopping', 'the agent stops'));
+    for (const run of this.attempts.open()) run.stop(fault('stopping', 'the agent is stopping'));
   }
 
   private admit(request: gateMessage.RunRequest): Result<Run, Fault> {
     const { target } = this.options;
     const refused = checkArrival(target, request);
     if (refused !== undefined) return err(refused);
-    const late = this.workload.checkDeadline(request);
-    if (late !== undefined) return err(late);
+    const unmeetable = this.workload.checkDeadline(request);
+    if (unmeetable !== undefined) return err(unmeetable);
     const cachedTokens = this.workload.likelyTokens(request);
     const run = new Run(this.runContext(request), request, target.incarnation(), cachedTokens);
     if (!this.attempts.begin(request.attemptId, run)) {
-      run.stop(fault('overloaded', 'too many attempts to remember'));
-      return err(fault('overloaded', 'too many attempts to remember'));
+      run.stop(fault('overloaded', 'the limit of remembered attempts is reached'));
+      return err(fault('overloaded', 'the limit of remembered attempts is reached'));
     }
-    void this.work(run);
+    void this.execute(run);
     return ok(run);
   }
 
-  private async work(run: Run): Promise<void> {
+  private async execute(run: Run): Promise<void> {
     const { metrics, bounds, clock } = this.options;
     this.active++;
     metrics.count(agentMetrics.runs);
-    this.gauge();
+    this.updateGauges();
     await run.execute();
     const { attemptId, idempotent } = run.request;
     run.release();
     this.attempts.end(attemptId, run);
     clock.after(idempotent ? bounds.keepMs : bounds.keepOnceMs, () => {
-      this.attempts.strip(attemptId, run.ran);
+      this.attempts.dropEvents(attemptId, run.ran);
       run.buffer.clear();
     });
-    this.gauge();
-    // A reader whose connection broke at the very end comes back for the rest.
-    await run.delivered(bounds.readerGraceMs);
+    this.updateGauges();
+    // A reader whose connection broke at the end may resume to get the remaining events.
+    await run.whenDelivered(bounds.readerGraceMs);
     this.active--;
     if (this.active > 0) return;
-    for (const wake of this.idleWaiters.splice(0)) wake();
+    for (const wake of this.drainWaiters.splice(0)) wake();
   }
 
-  private again(request: gateMessage.RunRequest, known: AttemptRecord, signal: AbortSignal): RunEvents {
+  private attachToKnown(
+    request: gateMessage.RunRequest,
+    known: AttemptRecord,
+    signal: AbortSignal,
+  ): RunEvents {
     const { log } = this.options;
     if (known.type === 'cancelled') {
       log.event(agentEvents.tombstoneRefused, { attemptId: request.attemptId });
-      return this.refusal(request, fault('cancelled', 'cancelled before it arrived'));
+      return this.refusal(request, fault('cancelled', 'the run was cancelled before it arrived'));
     }
     log.event(agentEvents.duplicateRun, { attemptId: request.attemptId });
-    if (known.type === 'ended') throw new ConnectError('the events are not kept any more', Code.OutOfRange);
+    if (known.type === 'ended')
+      throw new ConnectError('the events of the attempt are no longer kept', Code.OutOfRange);
     return known.run.read(0, signal);
   }
 
@@ -217,16 +223,16 @@
     const { requestId, attemptId, priority } = request;
     metrics.count(agentMetrics.refusals, 1, { kind: cause.kind });
     log.event(agentEvents.runRefused, { requestId, attemptId, kind: cause.kind, message: cause.message });
-    const event = lastEvent({ ...cause, ran: 'not-run' }, this.load(priority));
-    return only(create(gateMessage.RunEventSchema, { requestId, ordinal: 0n, event }));
+    const event = finalEvent({ ...cause, ran: 'not-run' }, this.load(priority));
+    return singleEvent(create(gateMessage.RunEventSchema, { requestId, ordinal: 0n, event }));
   }
 
   /**
-   * What Cancel may say. "Not run" needs a proof: the attempt waits here and is taken out, or it has never
-   * been here and is recorded so that it is refused when it arrives later. An agent that started after the
-   * attempt was sent cannot know what its predecessor did with it.
+   * The answer to Cancel. NOT_RUN requires proof: either the attempt is queued here and is removed, or it never
+   * arrived and is recorded so that it is refused if it arrives later. An agent that started after the attempt was
+   * sent cannot know whether its predecessor ran it.
    */
-  private cancelled(request: gateMessage.CancelRequest): gateMessage.Ran {
+  private cancelAttempt(request: gateMessage.CancelRequest): gateMessage.Ran {
     const known = this.attempts.find(request.attemptId);
     if (known?.type === 'run') {
       const { run } = known;
@@ -235,13 +241,15 @@
       return ranMessages[ran];
     }
     if (known?.type === 'ended') return ranMessages[known.ran];
-    if (known === undefined && !this.attempts.cancelUnknown(request.attemptId)) {
+    if (known === undefined && !this.attempts.recordCancelled(request.attemptId)) {
       return gateMessage.Ran.MAY_HAVE_RUN;
     }
-    return this.remembersAll(request.incarnation) ? gateMessage.Ran.NOT_RUN : gateMessage.Ran.MAY_HAVE_RUN;
+    return this.isAttemptMemoryComplete(request.incarnation)
+      ? gateMessage.Ran.NOT_RUN
+      : gateMessage.Ran.MAY_HAVE_RUN;
   }
 
-  private remembersAll(incarnation: string): boolean {
+  private isAttemptMemoryComplete(incarnation: string): boolean {
     if (incarnation !== '') return isOfAgent(incarnation, this.options.incarnation);
     return this.options.clock.monotonic() - this.startedAt > this.options.bounds.attemptWindowMs;
   }
@@ -257,18 +265,18 @@
       meter: this.workload.meter,
       turns: this.workload.turns,
       prefillMs: (tokens) => this.workload.prefillMs(tokens),
-      bounds: bufferBounds(bounds, request.idempotent),
+      bounds: bufferBoundsOf(bounds, request.idempotent),
       readerGraceMs: bounds.readerGraceMs,
-      recheck: (waited) => checkSending(target, waited),
+      recheckTarget: (waited) => checkDispatch(target, waited),
       load: (priority) => this.load(priority),
       suspect,
-      counted: (counted, usage) => {
-        this.counted(counted, usage);
+      onUsage: (finished, usage) => {
+        this.recordUsage(finished, usage);
       },
     };
   }
 
-  private counted(request: gateMessage.RunRequest, usage: Usage): void {
+  private recordUsage(request: gateMessage.RunRequest, usage: Usage): void {
     const { metrics, index } = this.options;
     metrics.count(agentMetrics.promptTokens, usage.promptTokens);
     metrics.count(agentMetrics.cachedTokens, usage.cachedTokens);
@@ -277,20 +285,25 @@
     index.confirm(decodeChain(request.chain), Math.floor(usage.cachedTokens / BLOCK_TOKENS));
   }
 
-  private gauge(): void {
+  private updateGauges(): void {
     this.options.metrics.gauge(agentMetrics.running, this.workload.slots.running);
     this.options.metrics.gauge(agentMetrics.queued, this.workload.slots.queued);
-    this.options.metrics.gauge(agentMetrics.reading, this.reading());
+    this.options.metrics.gauge(agentMetrics.reading, this.openReaders());
   }
 }
 
-async function* only(event: gateMessage.RunEvent): RunEvents {
+async function* singleEvent(event: gateMessage.RunEvent): RunEvents {
   yield await Promise.resolve(event);
 }
 
-/** A run that must not be repeated keeps its whole answer, up to a bound, for whoever asks for it later. */
-function bufferBounds(bounds: GateBounds, idempotent: boolean): BufferBounds {
-  if (!idempotent) return { unread: ONCE_BYTES, behind: ONCE_BYTES, behindMs: Number.POSITIVE_INFINITY };
+/** A non-idempotent run keeps its whole answer, up to a limit, as it may be requested later. */
+function bufferBoundsOf(bounds: GateBounds, idempotent: boolean): BufferBounds {
+  if (!idempotent)
+    return {
+      unread: MAX_KEPT_ANSWER_BYTES,
+      behind: MAX_KEPT_ANSWER_BYTES,
+      behindMs: Number.POSITIVE_INFINITY,
+    };
   const { bufferBytes, readerGraceMs } = bounds;
   return { unread: bufferBytes, behind: bufferBytes, behindMs: 2 * readerGraceMs };
 }
--- a/packages/agent/src/gate/index.ts
+++ b/packages/agent/src/gate/index.ts
@@ -1,3 +1,3 @@
-/** The gate: what entries may ask of the target. */
+/** The gate: the service through which entries use the target. */
 export * from './gate.js';
 export * from './target.js';
--- a/packages/agent/src/gate/target.ts
+++ b/packages/agent/src/gate/target.ts
@@ -1,16 +1,17 @@
-/** The target as the gate knows it at this moment. */
+/** Current state of the target for the gate. */
 import type { EngineModel } from '@jasmineroute/engine';
 
-/** Asked anew for each check. */
+/** Its methods are called for every check and return current values. */
 export interface GateTarget {
   readonly service: string;
   readonly kind: 'model' | 'plain';
-  /** As announced: engine and agent. */
+  /** Incarnation of engine and agent, as announced. */
   incarnation(): string;
   ready(): boolean;
-  /** Whether new work is refused for good. */
+  /** Whether the target is leaving: it accepts no new runs any more. */
   leaving(): boolean;
-  /** Models that take new work. */
+  /** Models that accept new runs. */
   models(): readonly EngineModel[];
+  /** Requests that the target runs concurrently. */
   capacity(): number;
 }
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -1,4 +1,4 @@
-/** The agent role: the process beside each target. */
+/** The agent role: the sidecar process of a target. */
 export * from './events.js';
 export * from './gate/index.js';
 export * from './load/index.js';
--- a/packages/agent/src/load/index.ts
+++ b/packages/agent/src/load/index.ts
@@ -1,3 +1,3 @@
-/** What waits and runs at the target, and how fast it is. */
+/** The queue of the target and measurements of its speed. */
 export * from './meter.js';
 export * from './slots.js';
--- a/packages/agent/src/load/meter.spec.ts
+++ b/packages/agent/src/load/meter.spec.ts
@@ -3,51 +3,50 @@
 import { LoadMeter } from './meter.js';
 
 describe('LoadMeter', () => {
-  it('measures prefill over requests that the target works off one after the other', async () => {
+  it('measures the prefill rate over requests that the target runs one after the other', async () => {
     const clock = new ManualClock();
     const meter = new LoadMeter(clock);
-    const measures = [0, 1, 2].map(() => meter.measure(5, 1_000));
-    for (const measure of measures) measure.sent();
-    expect(meter.ahead(5)).toBe(3_000);
-    expect(meter.ahead(6)).toBe(0);
-    for (const measure of measures) {
+    const measurements = [0, 1, 2].map(() => meter.track(5, 1_000));
+    for (const measurement of measurements) measurement.sent();
+    expect(meter.pendingTokens(5)).toBe(3_000);
+    expect(meter.pendingTokens(6)).toBe(0);
+    for (const measurement of measurements) {
       await clock.advance(100);
-      measure.firstToken();
+      measurement.firstToken();
     }
     expect(meter.prefillRate).toBeCloseTo(10_000);
-    expect(meter.ahead(0)).toBe(0);
+    expect(meter.pendingTokens(0)).toBe(0);
   });
 
-  it('does not take a target for slow that answers from its cache', async () => {
-    // Symptom: requests are refused as not to be met in time by a target that is idle.
-    // Sequence: a thousand requests have nearly all of their prompts cached; then a long new prompt comes.
-    // Cause: the fixed time of each of them was taken for the time of its few tokens.
+  it('does not lower the prefill rate of a target that answers from its cache', async () => {
+    // An idle target refuses a long new prompt as unable to meet its deadline. It has answered a thousand requests with
+    // nearly fully cached prompts, and their fixed latency was attributed to their few uncached tokens.
     const clock = new ManualClock();
     const meter = new LoadMeter(clock);
-    const one = async (tokens: number, ms: number): Promise<void> => {
-      const measure = meter.measure(5, tokens);
-      measure.sent();
+    const runRequest = async (tokens: number, ms: number): Promise<void> => {
+      const measurement = meter.track(5, tokens);
+      measurement.sent();
       await clock.advance(ms);
-      measure.firstToken();
-      measure.ended(0);
+      measurement.firstToken();
+      measurement.ended(0);
     };
-    await one(8_000, 1_000);
-    for (let index = 0; index < 100; index++) await one(10, 25);
+    await runRequest(8_000, 1_000);
+    for (let index = 0; index < 100; index++) await runRequest(10, 25);
     expect(meter.prefillRate).toBeCloseTo(8_000);
   });
 
-  it('forgets a request that fails, and measures the time between tokens', async () => {
+  it('ignores a failed request, and measures the time between tokens', async () => {
     const clock = new ManualClock();
     const meter = new LoadMeter(clock);
-    const lost = meter.measure(5, 1_000);
-    lost.sent();
-    lost.ended(0);
-    expect([meter.ahead(0), meter.prefillRate]).toEqual([0, 0]);
-    const measure = meter.measure(5, 1_000);
-    measure.sent();
-    measure.firstToken();
+    const failed = meter.track(5, 1_000);
+    failed.sent();
+    failed.ended(0);
+    expect([meter.pendingTokens(0), meter.prefillRate]).toEqual([0, 0]);
+    const measurement = meter.track(5, 1_000);
+    measurement.sent();
+    measurement.firstToken();
     await clock.advance(90);
-    measure.ended(10);
+    measurement.ended(10);
     expect(meter.tokenMs).toBeCloseTo(10);
   });
 });
--- a/packages/agent/src/load/meter.ts
+++ b/packages/agent/src/load/meter.ts
@@ -1,71 +1,71 @@
-/** Counts what is on its way, and measures the target's speed. */
+/** Counts pending prompt tokens and measures the speed of the target. */
 import type { Clock } from '@jasmineroute/core';
 
-/** Weight of the newest measurement. */
-const NEWEST = 0.2;
+/** Weight of the newest measurement in the moving averages. */
+const SMOOTHING_FACTOR = 0.2;
 
-/** Prefills below this many tokens say more about latency than about speed, and are not measured. */
+/** Smaller prefills are not measured, as fixed latency outweighs the time of their tokens. */
 const MIN_PREFILL_TOKENS = 256;
 
-/** A request on its way to its first token. */
-interface Pending {
+/** A request before its first token. */
+interface PendingRequest {
   readonly priority: number;
-  /** Prompt tokens that are expected not to be in the cache. */
+  /** Uncached prompt tokens, as expected. */
   readonly tokens: number;
   readonly since: number;
   sent: boolean;
 }
 
-/** Follows one request. Calls in wrong order or twice change nothing. */
-export interface Measure {
-  /** It went to the target. */
+/** Measures one request. Calls out of order or repeated calls have no effect. */
+export interface RequestMeasurement {
+  /** The request was sent to the target. */
   sent(): void;
-  /** Its first byte came. */
+  /** The first byte of the body arrived. */
   firstToken(): void;
-  /** It ended, however. @param outputTokens 0: not known. */
+  /** The request ended, successfully or not. @param outputTokens 0 when unknown. */
   ended(outputTokens: number): void;
 }
 
 /**
- * Speeds of a target that works on several requests at once. Prefill: tokens done in the time in which at
- * least one large prefill was pending, so that waiting behind another one does not count twice, and many
- * requests whose prompts are cached do not make the target look slow.
+ * Measures the speed of a target that runs requests concurrently. The prefill rate is the number of tokens computed
+ * per time in which at least one large prefill was pending. So time spent waiting behind another prefill is not
+ * counted twice, and many requests with cached prompts do not make the target look slow.
  */
 export class LoadMeter {
-  private readonly pending = new Set<Pending>();
-  private large = 0;
+  private readonly pending = new Set<PendingRequest>();
+  private largePrefills = 0;
   private busySince = 0;
   private busyMs = 0;
   private busyTokens = 0;
-  private rate = 0;
-  private tokenTime = 0;
-  private runTime = 0;
+  private averagePrefillRate = 0;
+  private averageTokenMs = 0;
+  private averageRunMs = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Prefill speed, tokens a second; 0: not known yet. */
+  /** Prefill rate, tokens per second; 0 while unknown. */
   get prefillRate(): number {
-    return this.rate;
+    return this.averagePrefillRate;
   }
 
-  /** Time between output tokens, milliseconds; 0: not known yet. */
+  /** Time between output tokens, milliseconds; 0 while unknown. */
   get tokenMs(): number {
-    return this.tokenTime;
+    return this.averageTokenMs;
   }
 
-  /** Time of a whole run at the target, milliseconds; 0: not known yet. */
+  /** Duration of a run at the target, milliseconds; 0 while unknown. */
   get runMs(): number {
-    return this.runTime;
+    return this.averageRunMs;
   }
 
-  /** Tokens that wait for prefill at a priority or above. */
-  ahead(priority: number): number {
+  /** Uncached tokens of requests before their first token, at a priority or above. */
+  pendingTokens(priority: number): number {
     let sum = 0;
     for (const entry of this.pending) if (entry.priority >= priority) sum += entry.tokens;
     return sum;
   }
 
-  /** How long the oldest request at a priority or above has waited to be sent, milliseconds. */
+  /** Longest time that an unsent request at a priority or above has waited, milliseconds. */
   waitedMs(priority: number): number {
     const now = this.clock.monotonic();
     let longest = 0;
@@ -75,9 +75,13 @@
     return longest;
   }
 
-  /** Follows a request from its arrival. @param onFirst told the milliseconds from sending to the first byte. */
-  measure(priority: number, tokens: number, onFirst: (ms: number) => void = () => undefined): Measure {
-    const entry: Pending = { priority, tokens, since: this.clock.monotonic(), sent: false };
+  /** Starts measuring a request on its arrival. @param onFirst called with the milliseconds from sending to the first byte. */
+  track(
+    priority: number,
+    tokens: number,
+    onFirst: (ms: number) => void = () => undefined,
+  ): RequestMeasurement {
+    const entry: PendingRequest = { priority, tokens, since: this.clock.monotonic(), sent: false };
     this.pending.add(entry);
     let sentAt: number | undefined;
     let firstAt: number | undefined;
@@ -99,8 +103,9 @@
         this.pending.delete(entry);
         if (sentAt === undefined) return;
         if (firstAt === undefined) this.endPrefill(now, tokens, 0);
-        else if (outputTokens > 1) this.tokenTime = mix(this.tokenTime, (now - firstAt) / (outputTokens - 1));
-        this.runTime = mix(this.runTime, now - sentAt);
+        else if (outputTokens > 1)
+          this.averageTokenMs = smoothed(this.averageTokenMs, (now - firstAt) / (outputTokens - 1));
+        this.averageRunMs = smoothed(this.averageRunMs, now - sentAt);
         sentAt = undefined;
       },
     };
@@ -108,29 +113,29 @@
 
   private startPrefill(now: number, tokens: number): void {
     if (tokens < MIN_PREFILL_TOKENS) return;
-    if (this.large === 0) {
+    if (this.largePrefills === 0) {
       this.busySince = now;
       this.busyMs = 0;
       this.busyTokens = 0;
     }
-    this.large++;
+    this.largePrefills++;
   }
 
-  /** @param done tokens of it that were worked off: all or, after a failure, none. */
+  /** @param done tokens that were computed: all or, after a failure, none. */
   private endPrefill(now: number, tokens: number, done: number): void {
-    if (this.large === 0) return;
+    if (this.largePrefills === 0) return;
     this.busyMs += now - this.busySince;
     this.busySince = now;
     this.busyTokens += done;
     if (tokens < MIN_PREFILL_TOKENS) return;
-    this.large--;
+    this.largePrefills--;
     if (this.busyTokens < MIN_PREFILL_TOKENS || this.busyMs <= 0) return;
-    this.rate = mix(this.rate, (this.busyTokens * 1_000) / this.busyMs);
+    this.averagePrefillRate = smoothed(this.averagePrefillRate, (this.busyTokens * 1_000) / this.busyMs);
     this.busyTokens = 0;
     this.busyMs = 0;
   }
 }
 
-function mix(old: number, value: number): number {
-  return old === 0 ? value : old + NEWEST * (value - old);
+function smoothed(old: number, value: number): number {
+  return old === 0 ? value : old + SMOOTHING_FACTOR * (value - old);
 }
--- a/packages/agent/src/load/slots.ts
+++ b/packages/agent/src/load/slots.ts
@@ -1,10 +1,10 @@
-/** The queue before the target: by priority, bounded, and never more at the target than it can take. */
+/** A bounded priority queue that limits concurrent requests to the capacity of the target. */
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 
-/** A place at the target. Give it back once. */
+/** One unit of the capacity of the target. */
 export interface Slot {
   release(): void;
 }
@@ -14,44 +14,45 @@
   readonly settle: (result: Result<Slot, Fault>) => void;
 }
 
-/** When callers may come back after the queue was full. */
+/** Suggested pause before a retry when the queue is full. */
 const RETRY_AFTER_MS = 1_000;
 
-/** Places at the target and those that wait for one. Larger priorities first, then in order of arrival. */
+/** Slots of the target and the requests waiting for one, by descending priority, then in order of arrival. */
 export class Slots {
   private readonly waiters: Waiter[] = [];
-  private used = 0;
+  private usedSlots = 0;
 
   /**
-   * @param capacity places at the target now; may change.
-   * @param limit how many may wait.
+   * @param capacity current number of slots; may change.
+   * @param limit most requests that may wait.
    */
   constructor(
     private readonly capacity: () => number,
     private readonly limit: () => number,
   ) {}
 
-  /** Places taken. */
+  /** Slots in use. */
   get running(): number {
-    return this.used;
+    return this.usedSlots;
   }
 
-  /** How many wait. */
+  /** Requests that wait for a slot. */
   get queued(): number {
     return this.waiters.length;
   }
 
   /**
-   * Waits for a place. When the queue is full, the newest of the lowest priority is refused, which may be
-   * this one: nothing of it has been sent.
+   * Waits for a slot. When the queue is full, the newest request of the lowest priority, possibly this one, is refused
+   * as not run.
    */
   acquire(priority: number, signal: AbortSignal): Promise<Result<Slot, Fault>> {
-    if (signal.aborted) return Promise.resolve(err(cancelled()));
-    if (this.used < this.capacity() && this.waiters.length === 0) return Promise.resolve(ok(this.take()));
+    if (signal.aborted) return Promise.resolve(err(cancelledFault()));
+    if (this.usedSlots < this.capacity() && this.waiters.length === 0)
+      return Promise.resolve(ok(this.take()));
     return new Promise((resolve) => {
       const onAbort = (): void => {
-        this.leave(waiter);
-        resolve(err(cancelled()));
+        this.dequeue(waiter);
+        resolve(err(cancelledFault()));
       };
       const waiter: Waiter = {
         priority,
@@ -61,48 +62,48 @@
         },
       };
       signal.addEventListener('abort', onAbort, { once: true });
-      this.enter(waiter);
+      this.enqueue(waiter);
     });
   }
 
-  /** Looks again whether there is a place; call it when the capacity has grown. */
-  refresh(): void {
-    while (this.used < this.capacity()) {
+  /** Grants free slots to waiting requests; to be called when the capacity has grown. */
+  admitWaiters(): void {
+    while (this.usedSlots < this.capacity()) {
       const waiter = this.waiters.shift();
       if (waiter === undefined) return;
       waiter.settle(ok(this.take()));
     }
   }
 
-  private enter(waiter: Waiter): void {
+  private enqueue(waiter: Waiter): void {
     const at = this.waiters.findIndex((other) => other.priority < waiter.priority);
     this.waiters.splice(at === -1 ? this.waiters.length : at, 0, waiter);
     if (this.waiters.length > this.limit()) {
-      const message = 'the queue before the target is full';
+      const message = 'the queue of the target is full';
       this.waiters.pop()?.settle(err(fault('overloaded', message, { retryAfterMs: RETRY_AFTER_MS })));
     }
-    this.refresh();
+    this.admitWaiters();
   }
 
-  private leave(waiter: Waiter): void {
+  private dequeue(waiter: Waiter): void {
     const at = this.waiters.indexOf(waiter);
     if (at !== -1) this.waiters.splice(at, 1);
   }
 
   private take(): Slot {
-    this.used++;
-    let held = true;
+    this.usedSlots++;
+    let isHeld = true;
     return {
       release: () => {
-        if (!held) return;
-        held = false;
-        this.used--;
-        this.refresh();
+        if (!isHeld) return;
+        isHeld = false;
+        this.usedSlots--;
+        this.admitWaiters();
       },
     };
   }
 }
 
-function cancelled(): Fault {
-  return fault('cancelled', 'cancelled before it was sent to the target');
+function cancelledFault(): Fault {
+  return fault('cancelled', 'the request was cancelled before it was sent to the target');
 }
--- a/packages/agent/src/role/agent.spec.ts
+++ b/packages/agent/src/role/agent.spec.ts
@@ -3,7 +3,7 @@
 import { Peers, controlMessage, gateMessage, listen } from '@jasmineroute/protocol';
 import type { RoleContext, RoleProcess, RpcServer } from '@jasmineroute/protocol';
 import { afterEach, describe, expect, it } from 'vitest';
-import { FakeEngine, Gathered, until } from '../fixture/index.js';
+import { FakeEngine, EventCollector, waitUntil } from '../fixture/index.js';
 import { agentSettings } from '../setting/index.js';
 import { createAgent } from './agent.js';
 
@@ -13,7 +13,7 @@
   for (const close of closers.splice(0).reverse()) await close();
 });
 
-/** A control instance that hears beats and answers what a test wants. */
+/** A control instance that records heartbeats and answers as the test sets it. */
 class FakeControl {
   readonly beats: controlMessage.BeatRequest[] = [];
   superseded = false;
@@ -101,23 +101,22 @@
 });
 
 describe('an agent', () => {
-  it('serves with control out of reach', async () => {
+  it('serves while no control instance is reachable', async () => {
     const { agent, engine, gate } = await start(['127.0.0.1:1']);
     expect(agent.readiness()).toEqual({ ready: true, reason: '' });
-    const run = new Gathered((signal) => gate.run(request('a-1'), { signal }));
-    await until(() => engine.executions.length === 1, 'begun');
+    const run = new EventCollector((signal) => gate.run(request('a-1'), { signal }));
+    await waitUntil(() => engine.executions.length === 1, 'started');
     engine.finish('a-1');
-    await run.over;
+    await run.ended;
     expect(run.last?.case).toBe('end');
   });
 
-  it('announces its target, and at once when the engine crashes and comes back', async () => {
-    // Symptom: entries send requests to a dead engine for seconds.
-    // Sequence: the engine crashes; the agent beside it goes on sending beats.
-    // Cause: the agent's own beats were taken for the engine's life.
+  it('announces its target, and immediately when the engine crashes and restarts', async () => {
+    // Entries send requests to a crashed engine for seconds, because the heartbeats of its agent continue and are
+    // mistaken for a sign that the engine is alive.
     const control = await new FakeControl().start();
     const { engine } = await start([control.address]);
-    await until(() => control.targets.length > 0, 'announced');
+    await waitUntil(() => control.targets.length > 0, 'announced');
     expect(control.targets[0]).toMatchObject({
       service: 's',
       kind: 'model',
@@ -127,52 +126,50 @@
       models: [{ model: 'm', version: '1' }],
     });
     await engine.crash();
-    await until(() => control.targets.at(-1)?.ready === false, 'not ready');
+    await waitUntil(() => control.targets.at(-1)?.ready === false, 'not ready');
     await engine.restart('engine-2');
-    await until(() => control.targets.at(-1)?.engineIncarnation === 'engine-2/5', 'new incarnation');
+    await waitUntil(() => control.targets.at(-1)?.engineIncarnation === 'engine-2/5', 'new incarnation');
     expect(control.targets.at(-1)?.ready).toBe(true);
   });
 
-  it('leaves: says so, refuses new work at once, finishes the rest', async () => {
-    // Symptom: a planned stop cuts answers, or takes work until the last moment.
-    // Sequence: the agent is told to stop while a stream runs; entries have not heard of it yet.
-    // Cause: stopping did not wait for streams, or waited with the gate open.
+  it('announces that it leaves, refuses new runs and finishes the others when drained', async () => {
+    // A planned stop interrupts answers, or accepts runs until the end. The agent is stopped while a stream is open and
+    // before entries have received its announcement, and either does not wait for the stream or keeps the gate open.
     const control = await new FakeControl().start();
     const { agent, engine, gate } = await start([control.address]);
-    await until(() => control.targets.length > 0, 'announced');
-    const run = new Gathered((signal) => gate.run(request('a-1'), { signal }));
-    await until(() => engine.executions.length === 1, 'begun');
+    await waitUntil(() => control.targets.length > 0, 'announced');
+    const run = new EventCollector((signal) => gate.run(request('a-1'), { signal }));
+    await waitUntil(() => engine.executions.length === 1, 'started');
     let drained = false;
     const drain = agent.drain().then(() => {
       drained = true;
     });
-    const late = new Gathered((signal) => gate.run(request('a-2'), { signal }));
-    await late.over;
+    const late = new EventCollector((signal) => gate.run(request('a-2'), { signal }));
+    await late.ended;
     expect(late.last).toMatchObject({ case: 'refusal', value: { kind: 'target-leaving' } });
     expect(agent.readiness().ready).toBe(false);
     const { LEAVING } = controlMessage.Health;
-    await until(
+    await waitUntil(
       () => control.beats.some(({ instance }) => instance?.health === LEAVING),
       'leaving is announced',
     );
     expect(drained).toBe(false);
     engine.emit('a-1', 'whole');
     engine.finish('a-1');
-    await Promise.all([run.over, drain]);
+    await Promise.all([run.ended, drain]);
     expect(run.text).toBe('whole');
     expect(engine.executions).toEqual(['a-1']);
   });
 
   it('stops when a newer agent serves its target', async () => {
-    // Symptom: two agents of one name take work and give orders to the same target.
-    // Sequence: a process is paused, a new one is started in its place, and the old one goes on.
-    // Cause: the old one never learnt of the new one.
+    // Two agents of the same name accept runs and send orders to one target. A process is paused, replaced by a new one
+    // and resumed, and is never informed that it was superseded.
     const control = await new FakeControl().start();
     const { gate, stops } = await start([control.address]);
     control.superseded = true;
-    await until(() => stops.length > 0, 'told to stop');
-    const run = new Gathered((signal) => gate.run(request('a-1'), { signal }));
-    await run.over;
+    await waitUntil(() => stops.length > 0, 'stop requested');
+    const run = new EventCollector((signal) => gate.run(request('a-1'), { signal }));
+    await run.ended;
     expect(run.last).toMatchObject({ case: 'refusal', value: { kind: 'target-leaving' } });
   });
 });
--- a/packages/agent/src/role/agent.ts
+++ b/packages/agent/src/role/agent.ts
@@ -1,4 +1,4 @@
-/** The agent role: gate, watches and announcement of one target, put together. */
+/** The agent role: connects gate, monitoring, orders and announcement of one target. */
 import type { ConnectRouter } from '@connectrpc/connect';
 import { runLasting } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
@@ -12,16 +12,16 @@
 import { ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { agentEvents } from '../events.js';
-import { Gate, gateCoding } from '../gate/index.js';
+import { Gate, gateHandlerOptions } from '../gate/index.js';
 import type { GateTarget } from '../gate/index.js';
 import type { AgentSettings } from '../setting/index.js';
-import { CacheWatch, EngineWatch, targetIncarnation } from '../watch/index.js';
-import { Orders } from './orders.js';
+import { CacheSynchroniser, EngineMonitor, targetIncarnation } from '../watch/index.js';
+import { OrderTask } from './orders.js';
 
-/** Concurrent requests at a plain service when nothing is set. */
+/** Concurrent requests at a plain service without a configured capacity. */
 const DEFAULT_PLAIN_CAPACITY = 32;
 
-/** How long a drained agent still answers. */
+/** How long a drained agent still answers, so that readers can resume after a broken connection. */
 const LINGER_MS = 500;
 
 class Agent implements RoleProcess, GateTarget {
@@ -29,14 +29,14 @@
   readonly kind: 'model' | 'plain';
   private readonly engine: Engine;
   private readonly index: BlockIndex;
-  private readonly watch: EngineWatch;
-  private readonly cache: CacheWatch;
+  private readonly engineMonitor: EngineMonitor;
+  private readonly cache: CacheSynchroniser;
   private readonly gate: Gate;
   private readonly directory: DirectoryClient;
-  private readonly orders: Orders;
+  private readonly orders: OrderTask;
   private readonly stopping = new AbortController();
-  private cacheRound = new AbortController();
-  private leaves = false;
+  private cacheStopping = new AbortController();
+  private isLeaving = false;
   private address = '';
   private tasks: Promise<void>[] = [];
 
@@ -56,29 +56,29 @@
       healthPath: settings.healthPath,
     });
     this.index = new BlockIndex({ capacity: settings.indexBlocks });
-    this.watch = new EngineWatch({
+    this.engineMonitor = new EngineMonitor({
       engine: this.engine,
       clock,
       log,
       intervalMs: settings.healthIntervalMs,
       timeoutMs: settings.healthTimeoutMs,
       onIncarnation: (incarnation, oldSeenAt) => {
-        this.newIncarnation(incarnation, oldSeenAt);
+        this.onNewIncarnation(incarnation, oldSeenAt);
       },
       onChange: () => {
-        this.changed();
+        this.onTargetChange();
       },
     });
-    const suspect = (): void => {
-      this.watch.poke();
+    const requestCheck = (): void => {
+      this.engineMonitor.requestCheck();
     };
-    this.cache = new CacheWatch({
+    this.cache = new CacheSynchroniser({
       engine: this.engine,
       index: this.index,
       clock,
       log,
       metrics,
-      onUnknown: suspect,
+      onUnknownIncarnation: requestCheck,
     });
     this.gate = new Gate({
       target: this,
@@ -89,80 +89,82 @@
       clock,
       log,
       metrics,
-      suspect,
+      suspect: requestCheck,
     });
     this.directory = this.openDirectory();
-    this.orders = new Orders({
+    this.orders = new OrderTask({
       context,
       settings,
       engine: this.engine,
-      watch: this.watch,
+      engineMonitor: this.engineMonitor,
       directory: this.directory,
-      sentFor: (model) => this.gate.sentFor(model),
-      changed: () => {
-        this.changed();
+      inFlightRuns: (model) => this.gate.inFlightRuns(model),
+      onModelsChanged: () => {
+        this.onTargetChange();
       },
     });
   }
 
   incarnation(): string {
-    return targetIncarnation(this.watch.status().state?.incarnation ?? '', this.context.incarnation);
+    return targetIncarnation(this.engineMonitor.status().state?.incarnation ?? '', this.context.incarnation);
   }
 
   ready(): boolean {
-    return this.watch.status().ready;
+    return this.engineMonitor.status().ready;
   }
 
   leaving(): boolean {
-    return this.leaves;
+    return this.isLeaving;
   }
 
   models(): readonly EngineModel[] {
-    const models = this.watch.status().state?.models ?? [];
-    return models.filter(({ model }) => !this.orders.withdrawn(model));
+    const models = this.engineMonitor.status().state?.models ?? [];
+    return models.filter(({ model }) => !this.orders.isWithdrawn(model));
   }
 
   capacity(): number {
-    return this.settings.capacity === 0 ? (this.watch.status().state?.capacity ?? 1) : this.settings.capacity;
+    return this.settings.capacity === 0
+      ? (this.engineMonitor.status().state?.capacity ?? 1)
+      : this.settings.capacity;
   }
 
   routes(router: ConnectRouter): void {
     const { gate } = this;
-    router.service(gateMessage.Gate, gate.service(), gateCoding);
+    router.service(gateMessage.Gate, gate.service(), gateHandlerOptions);
   }
 
   async start(address: string): Promise<void> {
     this.address = address;
-    await this.watch.look(this.stopping.signal);
-    this.keep('watch over the engine', this.watch.run(this.stopping.signal));
+    await this.engineMonitor.check(this.stopping.signal);
+    this.startTask('engine monitor', this.engineMonitor.run(this.stopping.signal));
     await this.directory.start(() => this.announcement());
     if (this.kind === 'plain') return;
-    this.keep('orders', this.orders.run());
+    this.startTask('orders', this.orders.run());
   }
 
   readiness(): Readiness {
-    if (this.leaves) return { ready: false, reason: 'leaving' };
+    if (this.isLeaving) return { ready: false, reason: 'leaving' };
     return this.ready() ? { ready: true, reason: '' } : { ready: false, reason: 'the target is not ready' };
   }
 
-  /** New work is refused from the first moment on, whatever entries still believe. */
+  /** Refuses new runs immediately, as entries may not have received the announcement yet, and waits for the others. */
   async drain(): Promise<void> {
     const { log, clock } = this.context;
-    this.leaves = true;
+    this.isLeaving = true;
     this.orders.stop();
     log.event(agentEvents.leaving);
     await this.directory.leave();
-    await this.gate.idle();
-    // What was handed to a connection that breaks just now is asked for again within this time.
+    await this.gate.whenDrained();
+    // A reader whose connection breaks now resumes within this time.
     await clock.sleep(LINGER_MS);
     log.event(agentEvents.drained);
   }
 
   async close(): Promise<void> {
-    this.leaves = true;
+    this.isLeaving = true;
     this.stopping.abort(new Error('stopped'));
     this.orders.stop();
-    this.cacheRound.abort(new Error('stopped'));
+    this.cacheStopping.abort(new Error('stopped'));
     this.gate.stopAll();
     await this.directory.stop();
     await Promise.allSettled(this.tasks);
@@ -184,7 +186,7 @@
       services: [this.settings.service],
       folder: dataFolder,
       onSuperseded: () => {
-        this.superseded();
+        this.onSuperseded();
       },
     });
   }
@@ -198,49 +200,49 @@
       service: this.service,
       kind: this.kind,
       engineIncarnation: this.incarnation(),
-      ready: this.ready() && !this.leaves,
+      ready: this.ready() && !this.isLeaving,
       models: this.models().map(({ model, version, adapters }) => ({
         model,
         version,
         adapters: adapters.map((adapter) => `${adapter.name}@${adapter.version}`),
       })),
       capacity: this.capacity(),
-      role: this.watch.status().state?.role ?? '',
+      role: this.engineMonitor.status().state?.role ?? '',
     };
   }
 
   /**
-   * Before the new engine can be announced or get a request, all that was known of the old one's cache goes,
-   * and so do the runs that it took down with it.
+   * Clears the index and stops the runs of the previous engine process, before the new one is announced or receives a
+   * request.
    */
-  private newIncarnation(incarnation: string, oldSeenAt: number): void {
+  private onNewIncarnation(incarnation: string, oldSeenAt: number): void {
     this.index.begin(incarnation);
     this.gate.engineReplaced(incarnation, oldSeenAt);
-    this.cacheRound.abort(new Error('the engine has restarted'));
-    this.cacheRound = new AbortController();
-    this.keep('cache', this.cache.run(this.cacheRound.signal));
+    this.cacheStopping.abort(new Error('the engine has restarted'));
+    this.cacheStopping = new AbortController();
+    this.startTask('cache synchroniser', this.cache.run(this.cacheStopping.signal));
   }
 
-  private keep(name: string, task: Promise<void>): void {
+  private startTask(name: string, task: Promise<void>): void {
     runLasting(name, task);
     this.tasks.push(task);
   }
 
-  private changed(): void {
-    this.gate.refresh();
+  private onTargetChange(): void {
+    this.gate.notifyCapacityChange();
     this.directory.refresh();
-    this.orders.poke();
+    this.orders.notifyChange();
   }
 
-  private superseded(): void {
+  private onSuperseded(): void {
     this.context.log.event(agentEvents.superseded);
-    this.leaves = true;
+    this.isLeaving = true;
     this.orders.stop();
     this.context.stop?.('a newer agent serves this target');
   }
 }
 
-/** Makes an agent. */
+/** Creates an agent for one target. */
 export async function createAgent(
   context: RoleContext,
   settings: AgentSettings,
--- a/packages/agent/src/role/orders.ts
+++ b/packages/agent/src/role/orders.ts
@@ -1,65 +1,65 @@
-/** The executor, wired to the parts of an agent. */
+/** The executor of an agent and the withdrawal of models from its gate. */
 import { Controls, TurnClient } from '@jasmineroute/directory';
 import type { DirectoryClient } from '@jasmineroute/directory';
 import type { Engine } from '@jasmineroute/engine';
 import type { RoleContext } from '@jasmineroute/protocol';
 import { Executor, countOthersServing } from '../order/index.js';
 import type { AgentSettings } from '../setting/index.js';
-import type { EngineWatch } from '../watch/index.js';
+import type { EngineMonitor } from '../watch/index.js';
 
-/** Time between two looks whether a model's runs have ended. */
+/** Interval of checks whether the runs of a withdrawn model have ended. */
 const DRAIN_POLL_MS = 50;
 
-/** The parts of the agent. */
-export interface OrdersParts {
+/** Parts of the agent that the task uses. */
+export interface OrderTaskParts {
   readonly context: RoleContext;
   readonly settings: AgentSettings;
   readonly engine: Engine;
-  readonly watch: EngineWatch;
+  readonly engineMonitor: EngineMonitor;
   readonly directory: DirectoryClient;
-  /** Runs that the engine may be at work on, for a model. */
-  readonly sentFor: (model: string) => number;
-  /** What the gate takes has changed. */
-  readonly changed: () => void;
+  /** Number of runs of a model that were sent to the engine and have not ended. */
+  readonly inFlightRuns: (model: string) => number;
+  /** Called when the models that the gate accepts have changed. */
+  readonly onModelsChanged: () => void;
 }
 
-/** Orders to one target, from start to stop. */
-export class Orders {
-  /** Models that are being taken out of service, though the engine still has them. */
-  private readonly out = new Set<string>();
+/** Task that sends orders to one target until it is stopped. */
+export class OrderTask {
+  /** Models that accept no new runs although the engine still has them loaded. */
+  private readonly withdrawnModels = new Set<string>();
   private readonly stopping = new AbortController();
   private readonly executor: Executor;
 
-  constructor(private readonly parts: OrdersParts) {
+  constructor(private readonly parts: OrderTaskParts) {
     this.executor = this.makeExecutor();
   }
 
-  /** Whether a model takes no new work here. */
-  withdrawn(model: string): boolean {
-    return this.out.has(model);
+  /** Whether a model was withdrawn and accepts no new runs. */
+  isWithdrawn(model: string): boolean {
+    return this.withdrawnModels.has(model);
   }
 
-  /** Gives orders until stopped. */
+  /** Sends orders until stopped. */
   async run(): Promise<void> {
-    const forget = this.parts.directory.onChange(() => {
-      this.poke();
+    const unsubscribe = this.parts.directory.onChange(() => {
+      this.notifyChange();
     });
     await this.executor.run(this.stopping.signal);
-    forget();
+    unsubscribe();
   }
 
-  /** The engine or the view has changed. */
-  poke(): void {
+  /** Starts the next round early, after a change of the engine or the view. */
+  notifyChange(): void {
     this.executor.notifyChange();
   }
 
-  /** From now on there are no more orders. */
+  /** Stops sending orders. */
   stop(): void {
     this.stopping.abort(new Error('stopped'));
   }
 
   private makeExecutor(): Executor {
-    const { context, settings, engine, watch, directory, changed } = this.parts;
+    const { context, settings, engine, engineMonitor, directory, onModelsChanged } = this.parts;
     const { name, incarnation, controls, peers, clock, log, metrics, dataCentre } = context;
     const { service, settleMs } = settings;
     const { addresses } = directory;
@@ -77,23 +77,23 @@
       metrics,
       settleMs,
       random: Math.random,
-      loadedModels: () => (watch.status().ready ? watch.status().state?.models : undefined),
+      loadedModels: () => (engineMonitor.status().ready ? engineMonitor.status().state?.models : undefined),
       countOthersServing: (model, version) => countOthersServing(serving, model, version),
       withdraw: (model, signal) => this.withdraw(model, signal),
       restore: (model) => {
-        this.out.delete(model);
-        changed();
+        this.withdrawnModels.delete(model);
+        onModelsChanged();
       },
-      refreshState: () => watch.look(this.stopping.signal),
+      refreshState: () => engineMonitor.check(this.stopping.signal),
     });
   }
 
-  /** The gate refuses a model at once; what runs is finished before the engine loses the weights. */
+  /** Stops accepting runs of a model, and waits for its in-flight runs before the engine unloads the weights. */
   private async withdraw(model: string, signal: AbortSignal): Promise<void> {
-    const { context, sentFor, changed } = this.parts;
-    this.out.add(model);
-    changed();
-    while (sentFor(model) > 0 && !signal.aborted) {
+    const { context, inFlightRuns, onModelsChanged } = this.parts;
+    this.withdrawnModels.add(model);
+    onModelsChanged();
+    while (inFlightRuns(model) > 0 && !signal.aborted) {
       await context.clock.sleep(DRAIN_POLL_MS, signal).catch(() => undefined);
     }
   }
--- a/packages/agent/src/run/buffer.spec.ts
+++ b/packages/agent/src/run/buffer.spec.ts
@@ -9,63 +9,62 @@
 
 const sizeOf = (event: EventBody | undefined): number => (event?.case === 'chunk' ? event.value.length : -1);
 
-/** Appends chunks that a reader takes at once. */
-function pass(buffer: EventBuffer, count: number, size: number): void {
+/** Appends chunks that a reader reads and acknowledges at once. */
+function appendAndRead(buffer: EventBuffer, count: number, size: number): void {
   for (let index = 0; index < count; index++) {
     buffer.append(chunk(size));
     const ordinal = buffer.end - 1;
-    buffer.give(ordinal);
-    buffer.taken(ordinal + 1);
+    buffer.read(ordinal);
+    buffer.acknowledge(ordinal + 1);
   }
 }
 
 describe('EventBuffer', () => {
-  it('joins chunks that no reader has had, and never changes one that was given', () => {
-    // Symptom: a resumed answer has bytes twice.
-    // Sequence: a reader takes an event; more is joined to it; another reader resumes at the next ordinal.
-    // Cause: an event changed after it had been given away under its ordinal.
+  it('joins unread chunks, and never changes one that was read', () => {
+    // A resumed answer repeats bytes. A reader reads an event, more bytes are joined to it, and another reader resumes
+    // at the next ordinal.
     const buffer = new EventBuffer(bounds, new ManualClock());
     buffer.append(chunk(10));
     buffer.append(chunk(20));
-    expect([buffer.end, sizeOf(buffer.give(0))]).toEqual([1, 30]);
+    expect([buffer.end, sizeOf(buffer.read(0))]).toEqual([1, 30]);
     buffer.append(chunk(5));
-    expect([buffer.end, sizeOf(buffer.give(0)), sizeOf(buffer.give(1))]).toEqual([2, 30, 5]);
+    expect([buffer.end, sizeOf(buffer.read(0)), sizeOf(buffer.read(1))]).toEqual([2, 30, 5]);
   });
 
-  it('has room again once the foremost reader has taken enough', () => {
+  it('has room again once the most advanced reader has acknowledged enough', () => {
     const buffer = new EventBuffer(bounds, new ManualClock());
     buffer.append(chunk(999));
     expect(buffer.hasRoom()).toBe(true);
     buffer.append(chunk(1));
     expect(buffer.hasRoom()).toBe(false);
-    buffer.give(0);
-    buffer.taken(1);
+    buffer.read(0);
+    buffer.acknowledge(1);
     expect(buffer.hasRoom()).toBe(true);
   });
 
-  it('keeps a bounded number of bytes behind the foremost reader', () => {
+  it('keeps a bounded number of acknowledged bytes', () => {
     const buffer = new EventBuffer(bounds, new ManualClock());
-    pass(buffer, 1_000, 100);
+    appendAndRead(buffer, 1_000, 100);
     expect(buffer.end).toBe(1_000);
     expect(buffer.end - buffer.start).toBeGreaterThanOrEqual(100);
     expect(buffer.end - buffer.start).toBeLessThan(200);
   });
 
-  it('keeps what was taken a short time ago and drops what was taken long ago', async () => {
+  it('keeps recently acknowledged events and drops older ones', async () => {
     const clock = new ManualClock();
     const buffer = new EventBuffer({ ...bounds, behind: 1_000_000 }, clock);
     for (let second = 0; second < 20; second++) {
-      pass(buffer, 15, 10);
+      appendAndRead(buffer, 15, 10);
       await clock.advance(1_000);
     }
     expect(buffer.end - buffer.start).toBeGreaterThanOrEqual(5 * 15);
     expect(buffer.end - buffer.start).toBeLessThan(5 * 15 + 2 * 64);
   });
 
-  it('takes nothing after the last event', () => {
+  it('ignores events after it was closed', () => {
     const buffer = new EventBuffer(bounds, new ManualClock());
     buffer.clear();
     buffer.append(chunk(1));
-    expect([buffer.closed, buffer.end]).toEqual([true, 0]);
+    expect([buffer.isClosed, buffer.end]).toEqual([true, 0]);
   });
 });
--- a/packages/agent/src/run/buffer.ts
+++ b/packages/agent/src/run/buffer.ts
@@ -1,31 +1,31 @@
-/** The events of one run, with ordinals, in bounded memory. */
+/** Buffer of the events of one run, numbered by ordinal, in bounded memory. */
 import type { Clock } from '@jasmineroute/core';
 import type { gateMessage } from '@jasmineroute/protocol';
 
 /** One event without its ordinal. */
 export type EventBody = Exclude<gateMessage.RunEvent['event'], { case: undefined | 'heartbeat' }>;
 
-/** How much a buffer holds, in bytes of chunks. */
+/** Limits of a buffer, in bytes of chunks unless stated otherwise. */
 export interface BufferBounds {
-  /** Not read by anyone yet; when reached, the target is paused. */
+  /** Bytes that no reader has acknowledged; at this limit reading from the target is paused. */
   readonly unread: number;
   /**
-   * Kept behind the foremost reader. What a reader has taken may still be lost in a connection: at most what
-   * HTTP/2 flow control lets out, 64 KiB by default. A resume goes on from within.
+   * Acknowledged bytes that are kept for a resume. They may still be lost in a connection: at most the flow-control
+   * window of HTTP/2, 64 KiB by default.
    */
   readonly behind: number;
-  /** The same in time, milliseconds: whoever resumes does so soon, or the run is cancelled by then. */
+  /** How long acknowledged events are kept, milliseconds; a run that is not resumed by then has been cancelled. */
   readonly behindMs: number;
 }
 
-/** Where the foremost reader was at some time. */
-interface Mark {
+/** The acknowledged ordinal at a point in time. */
+interface ProgressMark {
   readonly at: number;
   readonly ordinal: number;
 }
 
-/** Time between two marks. */
-const MARK_MS = 1_000;
+/** Shortest time between two marks. */
+const MARK_INTERVAL_MS = 1_000;
 
 interface Entry {
   event: EventBody;
@@ -33,91 +33,91 @@
   total: number;
 }
 
-/** Chunks are joined up to this size while no reader has had them: a backlog goes out in fewer messages. */
+/** Unread chunks are joined up to this size, so that a backlog is sent in fewer messages. */
 const JOIN_BYTES = 16 * 1024;
 
-/** How many events are dropped at once. */
+/** Fewest events that are dropped at once. */
 const TRIM_BATCH = 64;
 
-const lastCases: ReadonlySet<string> = new Set(['end', 'refusal', 'failure']);
+const finalCases: ReadonlySet<string> = new Set(['end', 'refusal', 'failure']);
 
 /**
- * A window over a run's events. Readers have their own places; the foremost decides what may be dropped and
- * when the target is paused, so that a slow or dead second reader holds nobody up.
+ * A window over the events of a run. Each reader has its own position; the most advanced one determines which events
+ * may be dropped and when the target is paused, so that a slow or dead second reader does not block the run.
  */
 export class EventBuffer {
   private entries: Entry[] = [];
   private first = 0;
   private total = 0;
-  private foremost = 0;
-  private foremostTotal = 0;
+  private acknowledged = 0;
+  private acknowledgedTotal = 0;
   private done = false;
-  /** Ordinal after the last one that any reader has been given. */
-  private given = 0;
+  /** Ordinal after the last event that any reader has read. */
+  private nextUnread = 0;
   private readonly listeners = new Set<() => void>();
   private roomWaiter?: () => void;
 
-  private readonly marks: Mark[] = [];
-  private expired = 0;
+  private readonly marks: ProgressMark[] = [];
+  private expiredBefore = 0;
 
   constructor(
     private readonly bounds: BufferBounds,
     private readonly clock: Clock,
   ) {}
 
-  /** Ordinal of the oldest event that is held. */
+  /** Ordinal of the oldest event in the buffer. */
   get start(): number {
     return this.first;
   }
 
-  /** Ordinal that the next event gets. */
+  /** Ordinal of the next event. */
   get end(): number {
     return this.first + this.entries.length;
   }
 
-  /** Whether the last event is in. */
-  get closed(): boolean {
+  /** Whether the final event was appended. */
+  get isClosed(): boolean {
     return this.done;
   }
 
-  /** Whether some reader has taken the last event. */
-  get delivered(): boolean {
-    return this.done && this.foremost >= this.end;
+  /** Whether a reader has acknowledged the final event. */
+  get isDelivered(): boolean {
+    return this.done && this.acknowledged >= this.end;
   }
 
-  /** Adds an event; after a last event nothing is added. */
+  /** Appends an event; ignored after the final event. */
   append(event: EventBody): void {
     if (this.done) return;
     if (event.case === 'chunk') this.total += event.value.length;
     if (!this.join(event)) this.entries.push({ event, total: this.total });
-    this.done = lastCases.has(event.case);
+    this.done = finalCases.has(event.case);
     for (const wake of this.listeners) wake();
   }
 
-  /** The event of an ordinal, which from now on does not change; undefined when it is not there. */
-  give(ordinal: number): EventBody | undefined {
+  /** Reads the event of an ordinal, which does not change afterwards; undefined when it is not in the buffer. */
+  read(ordinal: number): EventBody | undefined {
     const event = this.entries[ordinal - this.first]?.event;
-    if (event !== undefined && ordinal >= this.given) this.given = ordinal + 1;
+    if (event !== undefined && ordinal >= this.nextUnread) this.nextUnread = ordinal + 1;
     return event;
   }
 
-  /** A reader has taken all events before `ordinal`. */
-  taken(ordinal: number): void {
-    if (ordinal <= this.foremost) return;
-    this.foremost = ordinal;
-    this.mark();
-    this.foremostTotal = this.entries[ordinal - 1 - this.first]?.total ?? this.total;
+  /** Records that a reader has received all events before `ordinal`. */
+  acknowledge(ordinal: number): void {
+    if (ordinal <= this.acknowledged) return;
+    this.acknowledged = ordinal;
+    this.addMark();
+    this.acknowledgedTotal = this.entries[ordinal - 1 - this.first]?.total ?? this.total;
     this.trim();
     if (this.hasRoom()) this.wakeWriter();
   }
 
-  /** Whether the writer may add more. */
+  /** Whether the unacknowledged bytes are below the limit. */
   hasRoom(): boolean {
-    return this.total - this.foremostTotal < this.bounds.unread;
+    return this.total - this.acknowledgedTotal < this.bounds.unread;
   }
 
   /** Resolves when there is room or the signal aborts. */
-  room(signal: AbortSignal): Promise<void> {
+  whenRoom(signal: AbortSignal): Promise<void> {
     if (this.hasRoom() || signal.aborted) return Promise.resolve();
     return new Promise((resolve) => {
       const wake = (): void => {
@@ -130,7 +130,7 @@
     });
   }
 
-  /** Calls `wake` after every event. Returns the way to stop. */
+  /** Calls `wake` after every event. @returns a function that unsubscribes. */
   onEvent(wake: () => void): () => void {
     this.listeners.add(wake);
     return () => {
@@ -138,7 +138,7 @@
     };
   }
 
-  /** Drops all events; readers that still want them find them gone. */
+  /** Drops all events and closes the buffer; later reads of them fail. */
   clear(): void {
     this.first = this.end;
     this.entries = [];
@@ -148,7 +148,7 @@
 
   private join(event: EventBody): boolean {
     const last = this.entries.at(-1);
-    if (event.case !== 'chunk' || last?.event.case !== 'chunk' || this.given >= this.end) return false;
+    if (event.case !== 'chunk' || last?.event.case !== 'chunk' || this.nextUnread >= this.end) return false;
     if (last.event.value.length + event.value.length > JOIN_BYTES) return false;
     last.event = { case: 'chunk', value: Buffer.concat([last.event.value, event.value]) };
     last.total = this.total;
@@ -159,28 +159,29 @@
     this.roomWaiter?.();
   }
 
-  private mark(): void {
+  private addMark(): void {
     const at = this.clock.monotonic();
     const last = this.marks.at(-1);
-    if (last === undefined || at - last.at >= MARK_MS) this.marks.push({ at, ordinal: this.foremost });
+    if (last === undefined || at - last.at >= MARK_INTERVAL_MS)
+      this.marks.push({ at, ordinal: this.acknowledged });
   }
 
-  /** Moves on to the ordinal before which all was taken longer ago than the bound. */
-  private expire(): void {
+  /** Advances `expiredBefore` past events that were acknowledged longer than `behindMs` ago. */
+  private advanceExpired(): void {
     const limit = this.clock.monotonic() - this.bounds.behindMs;
     for (let oldest = this.marks[0]; oldest !== undefined && oldest.at <= limit; oldest = this.marks[0]) {
-      this.expired = oldest.ordinal;
+      this.expiredBefore = oldest.ordinal;
       this.marks.shift();
     }
   }
 
   private trim(): void {
-    this.expire();
-    let drop = Math.max(0, this.expired - this.first);
-    const limit = this.foremostTotal - this.bounds.behind;
-    const reach = this.foremost - this.first;
+    this.advanceExpired();
+    let drop = Math.max(0, this.expiredBefore - this.first);
+    const limit = this.acknowledgedTotal - this.bounds.behind;
+    const reach = this.acknowledged - this.first;
     while (drop < reach && (this.entries[drop]?.total ?? 0) <= limit) drop++;
-    // In batches: shifting an array for each event would cost its length each time.
+    // Dropped in batches, as removing events from the front of an array costs its whole length each time.
     if (drop < TRIM_BATCH) return;
     this.entries.splice(0, drop);
     this.first += drop;
--- a/packages/agent/src/run/context.ts
+++ b/packages/agent/src/run/context.ts
@@ -1,4 +1,4 @@
-/** What the runs of a gate share. */
+/** Dependencies shared by the runs of a gate. */
 import type { Clock, Fault, Log, Metrics } from '@jasmineroute/core';
 import type { Engine, Usage } from '@jasmineroute/engine';
 import type { gateMessage } from '@jasmineroute/protocol';
@@ -6,7 +6,7 @@
 import type { LoadMeter, Slots } from '../load/index.js';
 import type { BufferBounds } from './buffer.js';
 
-/** Given to each run. */
+/** Passed to each run. */
 export interface RunContext {
   readonly engine: Engine;
   readonly clock: Clock;
@@ -14,19 +14,19 @@
   readonly metrics: Metrics;
   readonly slots: Slots;
   readonly meter: LoadMeter;
-  /** Requests before their first token: few at once, and a prefix that several need is computed once. */
+  /** Limits concurrent prefills, and orders requests so that a shared prefix is computed once. */
   readonly turns: PrefillTurns;
   /** Milliseconds of prefill for a number of tokens. */
   readonly prefillMs: (tokens: number) => number;
   readonly bounds: BufferBounds;
-  /** How long an idempotent run goes on without a reader, milliseconds. */
+  /** How long an idempotent run continues without a reader, milliseconds. */
   readonly readerGraceMs: number;
-  /** A fault when the target is no longer the one that the run was accepted for. */
-  readonly recheck: (request: gateMessage.RunRequest) => Fault | undefined;
-  /** Load for the last event. */
+  /** Checks the run again before it is sent; returns a fault when the target has changed since it was accepted. */
+  readonly recheckTarget: (request: gateMessage.RunRequest) => Fault | undefined;
+  /** Load for the final event. */
   readonly load: (priority: number) => gateMessage.Load;
-  /** The engine broke a connection: worth a look. */
+  /** Called when the engine broke a connection, to check its state at once. */
   readonly suspect: () => void;
-  /** The target has counted the tokens of a request. */
-  readonly counted: (request: gateMessage.RunRequest, usage: Usage) => void;
+  /** Called with the token counts that the target reported for a request. */
+  readonly onUsage: (request: gateMessage.RunRequest, usage: Usage) => void;
 }
--- a/packages/agent/src/run/engineCall.ts
+++ b/packages/agent/src/run/engineCall.ts
@@ -1,4 +1,4 @@
-/** One run's conversation with the engine: sending, passing the answer on, continuing it when it breaks. */
+/** One call to the engine: sends the request, forwards the answer and resumes it when its connection breaks. */
 import { create } from '@bufbuild/protobuf';
 import { carrierOf, endHop, fault, startHop } from '@jasmineroute/core';
 import type { Fault, HopSpan } from '@jasmineroute/core';
@@ -8,37 +8,37 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { agentEvents } from '../events.js';
-import type { Measure } from '../load/index.js';
+import type { RequestMeasurement } from '../load/index.js';
 import { agentMetrics } from '../metrics.js';
 import { isOfEngine } from '../watch/incarnation.js';
 import type { EventBody, EventBuffer } from './buffer.js';
 import type { RunContext } from './context.js';
-import { reasonOf } from './stop.js';
+import { stopReasonOr } from './stop.js';
 
-/** How long the engine may take to confirm a cancellation. */
+/** Timeout of a cancellation at the engine. */
 const CANCEL_TIMEOUT_MS = 1_000;
 
-/** How often an answer is continued that gets no further in between. */
-const MAX_FUTILE_RESUMES = 3;
+/** Most resumes in a row that yield no further event. */
+const MAX_RESUMES_WITHOUT_PROGRESS = 3;
 
-/** Pause before an answer is continued. */
+/** Pause before an answer is resumed. */
 const RESUME_PAUSE_MS = 50;
 
 const traceHeaders: ReadonlySet<string> = new Set(['traceparent', 'tracestate']);
 
-/** What the call is for. */
+/** The run of a call and where its answer goes. */
 export interface EngineCallParts {
   readonly request: gateMessage.RunRequest;
   /** Incarnation that the run was accepted for. */
   readonly incarnation: string;
   readonly span: HopSpan;
-  /** Where the answer goes. */
+  /** Receives the events of the answer. */
   readonly buffer: EventBuffer;
-  /** Stops the call. */
+  /** Aborts the call. */
   readonly signal: AbortSignal;
 }
 
-/** Made for one use. */
+/** Used for one run. */
 export class EngineCall {
   private sentAt = 0;
   private servedBy?: string;
@@ -48,48 +48,50 @@
     private readonly parts: EngineCallParts,
   ) {}
 
-  /** Whether the call is at work on a process that is gone, now that the engine is another one. */
+  /** Whether the call was sent to an engine process that has been replaced by the given incarnation. */
   isLost(incarnation: string, oldSeenAt: number): boolean {
     return this.servedBy === undefined ? this.sentAt < oldSeenAt : this.servedBy !== incarnation;
   }
 
-  /** Sends the request and passes the answer on. Never rejects. */
-  async forward(measure: Measure): Promise<Result<Usage | undefined, Fault>> {
+  /** Sends the request and forwards the answer to the buffer. Never rejects. */
+  async forward(measurement: RequestMeasurement): Promise<Result<Usage | undefined, Fault>> {
     const { engine, clock } = this.context;
     const hop = startHop('engine.send', 'client', { parent: this.parts.span });
     const request = this.engineRequest(hop);
     this.sentAt = clock.monotonic();
-    measure.sent();
+    measurement.sent();
     const opened = await engine.send(request, this.parts.signal);
-    const done = opened.isOk() ? await this.follow(request, opened.value, measure) : err(opened.error);
-    if (done.isErr()) return err(await this.lost(hop, request, done.error));
+    const done = opened.isOk()
+      ? await this.forwardAnswer(request, opened.value, measurement)
+      : err(opened.error);
+    if (done.isErr()) return err(await this.afterFailure(hop, request, done.error));
     endHop(hop);
     return ok(done.value.usage?.());
   }
 
-  /** Passes an answer on to its end, over as many connections as it takes. @returns its last part. */
-  private async follow(
+  /** Forwards an answer to its end, resuming it on new connections when needed. @returns the last connection. */
+  private async forwardAnswer(
     request: EngineRequest,
     opened: EngineAnswer,
-    measure: Measure,
+    measurement: RequestMeasurement,
   ): Promise<Result<EngineAnswer, Fault>> {
-    this.begin(opened);
+    this.forwardHead(opened);
     let answer = opened;
-    for (let futile = 0; ; futile++) {
+    for (let resumes = 0; ; resumes++) {
       const before = answer.events?.();
-      const cause = await this.pump(answer, measure);
+      const cause = await this.forwardBody(answer, measurement);
       if (cause === undefined) return ok(answer);
-      if (answer.events?.() !== before) futile = 0;
-      if (futile === MAX_FUTILE_RESUMES) return err(cause);
+      if (answer.events?.() !== before) resumes = 0;
+      if (resumes === MAX_RESUMES_WITHOUT_PROGRESS) return err(cause);
       const next = await this.resume(request, answer, cause);
       if (next.isErr()) return next;
       answer = next.value;
     }
   }
 
-  private begin({ status, headers, incarnation }: EngineAnswer): void {
+  private forwardHead({ status, headers, incarnation }: EngineAnswer): void {
     this.servedBy = incarnation;
-    // Another process than the one that the run was accepted for: the index is of no use any more.
+    // The run was accepted for another engine process, so the index is out of date.
     if (incarnation !== undefined && !isOfEngine(this.parts.incarnation, incarnation)) this.context.suspect();
     const head: EventBody = {
       case: 'head',
@@ -98,25 +100,29 @@
     this.parts.buffer.append(head);
   }
 
-  /** Passes an answer's body on. @returns the fault that broke it. */
-  private async pump(answer: EngineAnswer, measure: Measure): Promise<Fault | undefined> {
+  /** Forwards the body of an answer. @returns the fault that interrupted it, if any. */
+  private async forwardBody(
+    answer: EngineAnswer,
+    measurement: RequestMeasurement,
+  ): Promise<Fault | undefined> {
     const { signal, buffer } = this.parts;
     try {
       for await (const value of answer.body) {
-        measure.firstToken();
+        measurement.firstToken();
         buffer.append({ case: 'chunk', value });
-        if (!buffer.hasRoom()) await buffer.room(signal);
-        if (signal.aborted) return reasonOf(signal, fault('cancelled', 'cancelled', { ran: 'may-have-run' }));
+        if (!buffer.hasRoom()) await buffer.whenRoom(signal);
+        if (signal.aborted)
+          return stopReasonOr(signal, fault('cancelled', 'cancelled', { ran: 'may-have-run' }));
       }
       return undefined;
     } catch (error) {
-      return reasonOf(signal, brokenStreamFault(error));
+      return stopReasonOr(signal, brokenStreamFault(error));
     }
   }
 
   /**
-   * Continues a broken answer at the engine that began it. Only whole events were passed on, so the next one
-   * by number follows without loss or repetition. Another incarnation knows nothing of the answer.
+   * Resumes an interrupted answer at the engine process that started it. Only whole events were forwarded, so the
+   * answer continues with the next event number, without loss or repetition. A new incarnation has no such answer.
    */
   private async resume(
     request: EngineRequest,
@@ -138,28 +144,28 @@
     return ok({ ...next.value, events: events === undefined ? undefined : () => from + events() });
   }
 
-  /** After it went out, only the engine's own word that it refused it proves that a request did not run. */
-  private async lost(hop: HopSpan, request: EngineRequest, cause: Fault): Promise<Fault> {
+  /** Once the request was sent, only an explicit refusal by the engine proves that it did not run. */
+  private async afterFailure(hop: HopSpan, request: EngineRequest, cause: Fault): Promise<Fault> {
     const { signal } = this.parts;
-    const reason = reasonOf(signal, cause);
+    const reason = stopReasonOr(signal, cause);
     endHop(hop, reason.kind);
     this.context.suspect();
     if (cause.ran === 'not-run') return reason;
     const cancelled = this.cancelAtEngine(request.attemptId);
-    // Whoever stopped the run is not waiting; whoever lost its answer tries again elsewhere at once.
+    // After a stop no caller waits. After a lost answer the caller retries elsewhere, which must not be delayed.
     if (signal.aborted) await cancelled;
     return { ...reason, ran: 'may-have-run' };
   }
 
-  /** A connection that is cut tells some engines nothing: without this they would work on for nobody. */
+  /** Some engines do not notice a closed connection, and would go on generating without this call. */
   private async cancelAtEngine(attemptId: string): Promise<void> {
     const { engine, clock, log } = this.context;
-    const bound = new AbortController();
-    const calledOff = clock.after(CANCEL_TIMEOUT_MS, () => {
-      bound.abort(new Error('no answer in time'));
+    const timeout = new AbortController();
+    const cancelTimer = clock.after(CANCEL_TIMEOUT_MS, () => {
+      timeout.abort(new Error('the engine did not confirm the cancellation in time'));
     });
-    const cancelled = await engine.cancel(attemptId, bound.signal);
-    calledOff();
+    const cancelled = await engine.cancel(attemptId, timeout.signal);
+    cancelTimer();
     if (cancelled.isErr()) log.event(agentEvents.cancelFailed, { attemptId, error: cancelled.error.message });
   }
 
--- a/packages/agent/src/run/index.ts
+++ b/packages/agent/src/run/index.ts
@@ -1,4 +1,4 @@
-/** One run: its events, and the task that gets them from the target. */
+/** Runs: executing an attempt at the target and buffering its events for readers. */
 export * from './attempts.js';
 export * from './buffer.js';
 export * from './context.js';
--- a/packages/agent/src/run/reader.ts
+++ b/packages/agent/src/run/reader.ts
@@ -1,30 +1,30 @@
-/** One reader of a run's events. */
+/** A stream of the events of a run, as read by one entry. */
 import { Code, ConnectError } from '@connectrpc/connect';
 import { create } from '@bufbuild/protobuf';
 import type { Cancellation, Clock } from '@jasmineroute/core';
 import { gateMessage } from '@jasmineroute/protocol';
 import type { EventBuffer } from './buffer.js';
 
-/** Time between two heartbeats on a stream that has nothing to say. */
+/** Interval of heartbeats on a stream without events. */
 export const HEARTBEAT_MS = 500;
 
-type Step = IteratorResult<gateMessage.RunEvent, undefined>;
+type ReadResult = IteratorResult<gateMessage.RunEvent, undefined>;
 
-interface Waiting {
-  readonly resolve: (step: Step) => void;
+interface PendingRead {
+  readonly resolve: (result: ReadResult) => void;
   readonly reject: (error: Error) => void;
 }
 
-/** What a reader needs. */
+/** Options of a reader. */
 export interface ReaderOptions {
   readonly requestId: string;
   readonly buffer: EventBuffer;
   readonly clock: Clock;
-  /** Ordinal of the first event wanted. */
+  /** Ordinal of the first event to read. */
   readonly from: number;
-  /** The other side has gone. */
+  /** Aborts when the connection to the entry is closed. */
   readonly signal: AbortSignal;
-  /** Called once, when reading is over. */
+  /** Called once, when the reader closes. */
   readonly onClose: () => void;
 }
 
@@ -32,30 +32,30 @@
   case: 'heartbeat',
   value: create(gateMessage.HeartbeatSchema),
 };
-const end: Step = { done: true, value: undefined };
+const end: ReadResult = { done: true, value: undefined };
 const typeName = gateMessage.RunEventSchema.typeName;
 
 /**
- * Gives out events from an ordinal on, with heartbeats between, until the last one. Ends early, without a last
- * event, when the other side has gone. Written as an iterator and not as a generator, with one timer for many
- * events: this is the path of every token.
+ * Yields events from an ordinal on, with heartbeats in between, up to the final event. Ends early, without a final
+ * event, when the connection is closed. Every token passes here, so this is an iterator rather than a generator and
+ * uses one timer for many events.
  */
 export class EventReader implements AsyncIterableIterator<gateMessage.RunEvent, undefined> {
-  private place: number;
-  private waiting?: Waiting;
-  private closed = false;
+  private nextOrdinal: number;
+  private waiting?: PendingRead;
+  private isClosed = false;
   private lastSent: number;
   private stopTimer: Cancellation = () => undefined;
-  private readonly forget: Cancellation;
+  private readonly unsubscribe: Cancellation;
 
   constructor(private readonly options: ReaderOptions) {
-    this.place = options.from;
+    this.nextOrdinal = options.from;
     this.lastSent = options.clock.monotonic();
-    this.forget = options.buffer.onEvent(() => {
-      this.wake();
+    this.unsubscribe = options.buffer.onEvent(() => {
+      this.deliver();
     });
     options.signal.addEventListener('abort', this.onAbort, { once: true });
-    this.watch(HEARTBEAT_MS);
+    this.scheduleHeartbeat(HEARTBEAT_MS);
     if (options.signal.aborted) this.close();
   }
 
@@ -63,72 +63,72 @@
     return this;
   }
 
-  /** The next event. Asking for it says that the one before has been taken. */
-  next(): Promise<Step> {
-    this.options.buffer.taken(this.place);
+  /** Returns the next event and acknowledges the previous one. */
+  next(): Promise<ReadResult> {
+    this.options.buffer.acknowledge(this.nextOrdinal);
     return new Promise((resolve, reject) => {
       this.waiting = { resolve, reject };
-      this.wake();
+      this.deliver();
     });
   }
 
-  return(): Promise<Step> {
+  return(): Promise<ReadResult> {
     this.close();
     return Promise.resolve(end);
   }
 
-  private wake(): void {
+  private deliver(): void {
     const { waiting } = this;
     if (waiting === undefined) return;
     const { buffer } = this.options;
-    if (this.closed) {
-      this.answer(waiting, end);
+    if (this.isClosed) {
+      this.resolveRead(waiting, end);
       return;
     }
-    if (this.place < buffer.start) {
+    if (this.nextOrdinal < buffer.start) {
       this.waiting = undefined;
       this.close();
-      waiting.reject(new ConnectError('the events are not kept any more', Code.OutOfRange));
+      waiting.reject(new ConnectError('the events of the attempt are no longer kept', Code.OutOfRange));
       return;
     }
-    const event = buffer.give(this.place);
+    const event = buffer.read(this.nextOrdinal);
     if (event !== undefined) {
       this.lastSent = this.options.clock.monotonic();
-      this.answer(waiting, this.stepOf(event));
-      this.place++;
+      this.resolveRead(waiting, this.resultOf(event));
+      this.nextOrdinal++;
       return;
     }
-    if (!buffer.closed) return;
+    if (!buffer.isClosed) return;
     this.close();
     waiting.resolve(end);
   }
 
-  private answer(waiting: Waiting, step: Step): void {
+  private resolveRead(waiting: PendingRead, result: ReadResult): void {
     this.waiting = undefined;
-    waiting.resolve(step);
+    waiting.resolve(result);
   }
 
-  private stepOf(event: gateMessage.RunEvent['event']): Step {
+  private resultOf(event: gateMessage.RunEvent['event']): ReadResult {
     const { requestId } = this.options;
-    const ordinal = BigInt(this.place);
+    const ordinal = BigInt(this.nextOrdinal);
     return { done: false, value: { $typeName: typeName, requestId, ordinal, event } };
   }
 
-  /** Looks again when the next heartbeat may be due. */
-  private watch(ms: number): void {
+  /** Starts a timer for the time at which the next heartbeat may be due. */
+  private scheduleHeartbeat(ms: number): void {
     const { clock } = this.options;
     this.stopTimer = clock.after(ms, () => {
-      const silent = clock.monotonic() - this.lastSent;
-      const due = silent >= HEARTBEAT_MS;
-      if (due) this.beat();
-      this.watch(due ? HEARTBEAT_MS : HEARTBEAT_MS - silent);
+      const silentMs = clock.monotonic() - this.lastSent;
+      const isDue = silentMs >= HEARTBEAT_MS;
+      if (isDue) this.sendHeartbeat();
+      this.scheduleHeartbeat(isDue ? HEARTBEAT_MS : HEARTBEAT_MS - silentMs);
     });
   }
 
-  private beat(): void {
+  private sendHeartbeat(): void {
     this.lastSent = this.options.clock.monotonic();
-    // Nobody waits for a heartbeat while the one before is still on its way out.
-    if (this.waiting !== undefined) this.answer(this.waiting, this.stepOf(heartbeat));
+    // Without a pending read, the previous event is still being sent and no heartbeat is needed.
+    if (this.waiting !== undefined) this.resolveRead(this.waiting, this.resultOf(heartbeat));
   }
 
   private readonly onAbort = (): void => {
@@ -136,12 +136,12 @@
   };
 
   private close(): void {
-    if (this.closed) return;
-    this.closed = true;
+    if (this.isClosed) return;
+    this.isClosed = true;
     this.stopTimer();
-    this.forget();
+    this.unsubscribe();
     this.options.signal.removeEventListener('abort', this.onAbort);
     this.options.onClose();
-    if (this.waiting !== undefined) this.answer(this.waiting, end);
+    if (this.waiting !== undefined) this.resolveRead(this.waiting, end);
   }
 }
--- a/packages/agent/src/run/stop.ts
+++ b/packages/agent/src/run/stop.ts
@@ -1,15 +1,15 @@
-/** Why a run is stopped from outside. */
+/** The reason for which a run was stopped. */
 import type { Fault } from '@jasmineroute/core';
 
-/** Reason of a run's signal. */
+/** Abort reason of the signal of a run. */
 export class StopError extends Error {
   constructor(readonly fault: Fault) {
     super(fault.message);
   }
 }
 
-/** The reason that a run was stopped for, or else what went wrong by itself; `ran` is the latter's. */
-export function reasonOf(signal: AbortSignal, otherwise: Fault): Fault {
+/** The fault with which a run was stopped, otherwise `failure`; `ran` is always that of `failure`. */
+export function stopReasonOr(signal: AbortSignal, failure: Fault): Fault {
   const { reason } = signal as { reason: unknown };
-  return reason instanceof StopError ? { ...reason.fault, ran: otherwise.ran } : otherwise;
+  return reason instanceof StopError ? { ...reason.fault, ran: failure.ran } : failure;
 }
--- a/packages/agent/src/watch/cacheWatch.ts
+++ b/packages/agent/src/watch/cacheWatch.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the engine's cache events into the index: a snapshot first, then the events after it. After a gap the
- * index vouches for nothing older, goes on with what comes, and is read anew when the next snapshot is due.
+ * Applies the engine's cache events to the index: first a snapshot, then the events that follow it. After a gap the
+ * index no longer counts older blocks as certain, applies later events, and is restored when the next snapshot is due.
  */
 import type { Cancellation, Clock, Fault, Log, Metrics } from '@jasmineroute/core';
 import { brokenStreamFault } from '@jasmineroute/engine';
@@ -11,36 +11,36 @@
 import { agentEvents } from '../events.js';
 import { agentMetrics } from '../metrics.js';
 
-/** Pause before a lost stream is opened anew; doubled while that goes on. */
+/** Backoff before an ended stream is opened again. */
 const MIN_PAUSE_MS = 100;
 const MAX_PAUSE_MS = 5_000;
 
-/** Shortest time between two snapshots after gaps: an engine that loses many events is not read all the time. */
+/** Shortest time between two snapshots after gaps, so that an engine that loses many events is not read constantly. */
 const SNAPSHOT_INTERVAL_MS = 5_000;
 
-/** Longest wait for a snapshot. */
+/** Timeout of reading a snapshot. */
 const SNAPSHOT_TIMEOUT_MS = 10_000;
 
-/** What the watch needs. */
-export interface CacheWatchOptions {
+/** Dependencies of a cache synchroniser. */
+export interface CacheSynchroniserOptions {
   readonly engine: Engine;
   readonly index: BlockIndex;
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** An incarnation that nobody has named: worth a look at the engine. */
-  readonly onUnknown: () => void;
+  /** Called for an event or snapshot of an unknown incarnation, to check the engine at once. */
+  readonly onUnknownIncarnation: () => void;
 }
 
-/** The watch. Started anew for each incarnation of the engine. */
-export class CacheWatch {
+/** Keeps the index in step with the cache. `run` is called for each incarnation of the engine. */
+export class CacheSynchroniser {
   private pauseMs = MIN_PAUSE_MS;
-  /** Earliest time of the next snapshot after a gap. */
-  private nextSnapshot = 0;
+  /** Earliest monotonic time of the next snapshot after a gap. */
+  private nextSnapshotAt = 0;
 
-  constructor(private readonly options: CacheWatchOptions) {}
+  constructor(private readonly options: CacheSynchroniserOptions) {}
 
-  /** Follows one incarnation until the signal aborts. */
+  /** Follows the cache of one incarnation until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { engine, clock, log } = this.options;
     if (engine.cacheEvents === undefined || engine.cacheSnapshot === undefined) return;
@@ -48,7 +48,7 @@
     const stopped = (): boolean => signal.aborted;
     while (!stopped()) {
       const synchronised = await this.synchronise(signal);
-      const ended = synchronised.isErr() ? synchronised.error : await this.tail(signal);
+      const ended = synchronised.isErr() ? synchronised.error : await this.followEvents(signal);
       if (stopped()) return;
       log.event(agentEvents.cacheLost, { reason: ended.message });
       await clock.sleep(this.pauseMs, signal).catch(() => undefined);
@@ -56,53 +56,54 @@
     }
   }
 
-  /** Reads the whole cache. */
+  /** Restores the index from a snapshot. */
   private async synchronise(signal: AbortSignal): Promise<Result<void, Fault>> {
-    const { engine, index, clock, log, onUnknown } = this.options;
-    const bound = new AbortController();
-    const calledOff = clock.after(SNAPSHOT_TIMEOUT_MS, () => {
-      bound.abort(new Error('no snapshot in time'));
+    const { engine, index, clock, log, onUnknownIncarnation } = this.options;
+    const timeout = new AbortController();
+    const cancelTimer = clock.after(SNAPSHOT_TIMEOUT_MS, () => {
+      timeout.abort(new Error('the engine sent no snapshot in time'));
     });
-    const snapshot = await engine.cacheSnapshot?.(AbortSignal.any([signal, bound.signal]));
-    calledOff();
-    if (snapshot === undefined) return err(brokenStreamFault(new Error('the engine has no snapshots')));
+    const snapshot = await engine.cacheSnapshot?.(AbortSignal.any([signal, timeout.signal]));
+    cancelTimer();
+    if (snapshot === undefined)
+      return err(brokenStreamFault(new Error('the engine does not support cache snapshots')));
     if (snapshot.isErr()) return err(snapshot.error);
     if (!index.restore(snapshot.value)) {
-      onUnknown();
-      return err(brokenStreamFault(new Error('the snapshot is of another incarnation')));
+      onUnknownIncarnation();
+      return err(brokenStreamFault(new Error('the snapshot belongs to another incarnation')));
     }
     log.event(agentEvents.cacheSynchronised, { sequence: index.sequence, ...index.counts() });
     return ok();
   }
 
-  /** Takes events up until their stream ends, or until a snapshot is due after a gap. */
-  private async tail(signal: AbortSignal): Promise<Fault> {
+  /** Applies events until their stream ends or a snapshot is due after a gap. @returns why it ended. */
+  private async followEvents(signal: AbortSignal): Promise<Fault> {
     const { engine, index, clock } = this.options;
-    const round = new AbortController();
-    let calledOff: Cancellation | undefined;
+    const snapshotDue = new AbortController();
+    let cancelTimer: Cancellation | undefined;
     try {
-      // From the last one that is known: whether an engine counts it in or not, none is missed.
-      const bound = AbortSignal.any([signal, round.signal]);
-      for await (const event of engine.cacheEvents?.(index.sequence, bound) ?? []) {
-        this.note(index.apply(event), event.sequence);
+      // Starts at the last known event, so that none is missed whether an engine includes that event or not.
+      const streamSignal = AbortSignal.any([signal, snapshotDue.signal]);
+      for await (const event of engine.cacheEvents?.(index.sequence, streamSignal) ?? []) {
+        this.recordOutcome(index.apply(event), event.sequence);
         this.pauseMs = MIN_PAUSE_MS;
-        if (index.synchronised || calledOff !== undefined) continue;
-        calledOff = clock.after(this.nextSnapshot - clock.monotonic(), () => {
-          round.abort(new Error('a snapshot is due after a gap'));
+        if (index.synchronised || cancelTimer !== undefined) continue;
+        cancelTimer = clock.after(this.nextSnapshotAt - clock.monotonic(), () => {
+          snapshotDue.abort(new Error('a snapshot is due after a gap'));
         });
-        this.nextSnapshot = Math.max(clock.monotonic(), this.nextSnapshot) + SNAPSHOT_INTERVAL_MS;
+        this.nextSnapshotAt = Math.max(clock.monotonic(), this.nextSnapshotAt) + SNAPSHOT_INTERVAL_MS;
       }
       return brokenStreamFault(new Error('the stream of cache events ended'));
     } catch (error) {
       return brokenStreamFault(error);
     } finally {
-      calledOff?.();
+      cancelTimer?.();
     }
   }
 
-  private note(applied: Applied, sequence: number): void {
-    const { metrics, log, onUnknown } = this.options;
-    if (applied === 'unknown-incarnation') onUnknown();
+  private recordOutcome(applied: Applied, sequence: number): void {
+    const { metrics, log, onUnknownIncarnation } = this.options;
+    if (applied === 'unknown-incarnation') onUnknownIncarnation();
     if (applied !== 'gap') return;
     metrics.count(agentMetrics.cacheGaps);
     log.event(agentEvents.cacheGap, { sequence });
--- a/packages/agent/src/watch/engineWatch.ts
+++ b/packages/agent/src/watch/engineWatch.ts
@@ -1,96 +1,96 @@
-/** Follows the target's health: one task that looks at it again and again. */
+/** Periodic health checks of the target. */
 import type { Clock, Log } from '@jasmineroute/core';
 import type { Engine, EngineState } from '@jasmineroute/engine';
 import { agentEvents } from '../events.js';
 
-/** Looks that fail before a target that merely does not answer in time counts as down. */
-const MISSES = 2;
+/** Consecutive checks that must time out before the target counts as down. */
+const MAX_MISSED_CHECKS = 2;
 
-/** Shortest time between two looks, however often one is asked for. */
+/** Shortest time between two checks, however often they are requested. */
 const MIN_INTERVAL_MS = 20;
 
-/** What is known of the target now. */
+/** Result of the latest checks of the target. */
 export interface EngineStatus {
-  /** Whether it answers and says that it is ready. */
+  /** Whether the target answers and reports that it is ready. */
   readonly ready: boolean;
-  /** Its last state; undefined until it first answered. */
+  /** The last reported state; undefined until the first answer. */
   readonly state: EngineState | undefined;
 }
 
-/** What the watch needs. */
-export interface EngineWatchOptions {
+/** Dependencies and settings of an engine monitor; durations in milliseconds. */
+export interface EngineMonitorOptions {
   readonly engine: Engine;
   readonly clock: Clock;
   readonly log: Log;
   readonly intervalMs: number;
   readonly timeoutMs: number;
   /**
-   * The engine is a new process. Called before the new state can be seen, so before any request to it.
-   * `oldSeenAt` is the time at which a look began that the old one still answered.
+   * Called when the engine is a new process, before the new state becomes visible and hence before any request is
+   * sent to it. `oldSeenAt` is the monotonic start of the last check that the previous process answered.
    */
   readonly onIncarnation: (incarnation: string, oldSeenAt: number) => void;
-  /** Something that others see has changed. */
+  /** Called when the announced state has changed. */
   readonly onChange: () => void;
 }
 
-/** The watch. */
-export class EngineWatch {
+/** Checks the target periodically and on request. */
+export class EngineMonitor {
   private known: EngineStatus = { ready: false, state: undefined };
-  private misses = 0;
+  private missedChecks = 0;
   private wake?: () => void;
-  private poked = false;
-  private seenAt = 0;
+  private isCheckRequested = false;
+  private lastAnsweredAt = 0;
 
-  constructor(private readonly options: EngineWatchOptions) {}
+  constructor(private readonly options: EngineMonitorOptions) {}
 
   status(): EngineStatus {
     return this.known;
   }
 
-  /** Looks now, as after a broken connection: a crash is noticed without waiting for the next turn. */
-  poke(): void {
-    this.poked = true;
+  /** Requests a check now, for example after a broken connection, so that a crash is noticed early. */
+  requestCheck(): void {
+    this.isCheckRequested = true;
     this.wake?.();
   }
 
-  /** Looks until the signal aborts. */
+  /** Checks the target until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.look(signal);
+      await this.check(signal);
       await this.pause(signal);
     }
   }
 
-  /** One look. */
-  async look(signal: AbortSignal): Promise<void> {
+  /** Checks the target once. */
+  async check(signal: AbortSignal): Promise<void> {
     const { engine, clock, timeoutMs } = this.options;
     const startedAt = clock.monotonic();
-    const bound = new AbortController();
-    const calledOff = clock.after(timeoutMs, () => {
-      bound.abort(new Error('no answer in time'));
+    const timeout = new AbortController();
+    const cancelTimer = clock.after(timeoutMs, () => {
+      timeout.abort(new Error('the health check timed out'));
     });
-    const state = await engine.state(AbortSignal.any([signal, bound.signal]));
-    calledOff();
+    const state = await engine.state(AbortSignal.any([signal, timeout.signal]));
+    cancelTimer();
     if (signal.aborted) return;
     if (state.isOk()) {
-      this.answered(state.value);
-      this.seenAt = startedAt;
+      this.recordState(state.value);
+      this.lastAnsweredAt = startedAt;
       return;
     }
-    this.misses++;
-    // A refused connection is a crash. A slow answer may be a pause: evicting on the first would be wrong.
+    this.missedChecks++;
+    // A refused connection means a crash. A slow answer may be a pause, so one missed check does not mark the target down.
     const crashed = state.error.kind === 'target-unreachable' || state.error.kind === 'target-lost';
-    if (crashed || this.misses >= MISSES) this.down(state.error.message);
+    if (crashed || this.missedChecks >= MAX_MISSED_CHECKS) this.markDown(state.error.message);
   }
 
-  private answered(state: EngineState): void {
+  private recordState(state: EngineState): void {
     const { log, onIncarnation } = this.options;
     const before = this.known;
-    this.misses = 0;
+    this.missedChecks = 0;
     if (state.incarnation !== before.state?.incarnation) {
       const old = before.state?.incarnation;
       if (old !== undefined) log.event(agentEvents.engineRestarted, { old, now: state.incarnation });
-      onIncarnation(state.incarnation, this.seenAt);
+      onIncarnation(state.incarnation, this.lastAnsweredAt);
     }
     this.known = { ready: state.ready, state };
     if (state.ready && !before.ready) log.event(agentEvents.engineUp, { incarnation: state.incarnation });
@@ -98,7 +98,7 @@
     if (JSON.stringify(before) !== JSON.stringify(this.known)) this.options.onChange();
   }
 
-  private down(reason: string): void {
+  private markDown(reason: string): void {
     if (!this.known.ready) return;
     this.known = { ...this.known, ready: false };
     this.options.log.event(agentEvents.engineDown, { reason });
@@ -107,22 +107,22 @@
 
   private async pause(signal: AbortSignal): Promise<void> {
     const { clock, intervalMs } = this.options;
-    if (this.poked) await clock.sleep(MIN_INTERVAL_MS, signal).catch(() => undefined);
-    if (signal.aborted || this.poked) {
-      this.poked = false;
+    if (this.isCheckRequested) await clock.sleep(MIN_INTERVAL_MS, signal).catch(() => undefined);
+    if (signal.aborted || this.isCheckRequested) {
+      this.isCheckRequested = false;
       return;
     }
     await new Promise<void>((resolve) => {
       const finish = (): void => {
-        calledOff();
+        cancelTimer();
         signal.removeEventListener('abort', finish);
         this.wake = undefined;
         resolve();
       };
-      const calledOff = clock.after(intervalMs, finish);
+      const cancelTimer = clock.after(intervalMs, finish);
       signal.addEventListener('abort', finish, { once: true });
       this.wake = finish;
     });
-    this.poked = false;
+    this.isCheckRequested = false;
   }
 }
--- a/packages/agent/src/watch/incarnation.ts
+++ b/packages/agent/src/watch/incarnation.ts
@@ -1,22 +1,22 @@
 /**
- * The incarnation of a target as the rest of the system sees it: that of the engine and that of its agent.
- * Both matter. A new engine has an empty cache; a new agent has forgotten which attempts its predecessor
- * took, so a message for the predecessor must not be taken for one that it has never seen.
+ * The announced incarnation of a target: that of the engine together with that of its agent. A new engine has an empty
+ * cache. A new agent does not know the attempts of its predecessor, so it must be able to tell messages for the
+ * predecessor from those for itself.
  */
 
 const SEPARATOR = '/';
 
-/** Joins the two. */
+/** Combines the incarnations of engine and agent. */
 export function targetIncarnation(engine: string, agent: bigint): string {
   return `${engine}${SEPARATOR}${agent}`;
 }
 
-/** Whether an incarnation names this agent process, whatever its engine was. */
+/** Whether an incarnation belongs to this agent process, with any engine. */
 export function isOfAgent(incarnation: string, agent: bigint): boolean {
   return incarnation.endsWith(`${SEPARATOR}${agent}`);
 }
 
-/** Whether an incarnation names this engine process, whatever its agent was. */
+/** Whether an incarnation belongs to this engine process, with any agent. */
 export function isOfEngine(incarnation: string, engine: string): boolean {
   return incarnation.startsWith(`${engine}${SEPARATOR}`);
 }
--- a/packages/agent/src/watch/index.ts
+++ b/packages/agent/src/watch/index.ts
@@ -1,4 +1,4 @@
-/** What the agent knows of its target. */
+/** Monitoring of the target: its health, incarnation and cache. */
 export * from './cacheWatch.js';
 export * from './engineWatch.js';
 export * from './incarnation.js';
