--- a/packages/agent/src/bench/stream.ts
+++ b/packages/agent/src/bench/stream.ts
@@ -15,7 +15,7 @@
 import { gateMessage, listen } from '@jasmineroute/protocol';
 import { BlockIndex } from '@jasmineroute/routing';
 import { Gate, gateHandlerOptions } from '../gate/index.js';
-import { INCARNATION, INTERVAL_MS, engineMain, readerMain } from './ends.js';
+import { INCARNATION, INTERVAL_MS, engineMain, readerMain } from './streamRoles.js';
 
 /** One line of the result. */
 interface Measurement {
--- a/packages/agent/src/gate/check.ts
+++ b/packages/agent/src/gate/check.ts
@@ -2,7 +2,7 @@
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import type { gateMessage } from '@jasmineroute/protocol';
-import type { GateTarget } from './target.js';
+import type { GateTarget } from './gateTarget.js';
 
 /** The weights that a run needs. */
 export type RequiredWeights = Pick<gateMessage.RunRequest, 'model' | 'adapter' | 'weightsVersion'>;
--- a/packages/agent/src/gate/gate.ts
+++ b/packages/agent/src/gate/gate.ts
@@ -16,7 +16,7 @@
 import type { AttemptRecord, BufferBounds, RunContext } from '../run/index.js';
 import { isOfAgent } from '../watch/incarnation.js';
 import { checkArrival, checkDispatch, isLoaded } from './check.js';
-import type { GateTarget } from './target.js';
+import type { GateTarget } from './gateTarget.js';
 import { Workload } from './workload.js';
 
 /** Limits of a gate, in milliseconds and bytes; see the settings of the agent. */
--- a/packages/agent/src/gate/index.ts
+++ b/packages/agent/src/gate/index.ts
@@ -1,3 +1,3 @@
 /** The gate: the service through which entries use the target. */
 export * from './gate.js';
-export * from './target.js';
+export * from './gateTarget.js';
--- a/packages/agent/src/gate/workload.ts
+++ b/packages/agent/src/gate/workload.ts
@@ -6,7 +6,7 @@
 import { BLOCK_TOKENS, MAX_CONCURRENT_PREFILLS, PrefillTurns, decodeChain } from '@jasmineroute/routing';
 import type { BlockIndex } from '@jasmineroute/routing';
 import { LoadMeter, Slots } from '../load/index.js';
-import type { GateTarget } from './target.js';
+import type { GateTarget } from './gateTarget.js';
 
 /** Prompt and priority of a request. */
 export type PromptInfo = Pick<gateMessage.RunRequest, 'chain' | 'promptTokens' | 'priority'>;
--- a/packages/agent/src/load/index.ts
+++ b/packages/agent/src/load/index.ts
@@ -1,3 +1,3 @@
 /** The queue of the target and measurements of its speed. */
-export * from './meter.js';
+export * from './loadMeter.js';
 export * from './slots.js';
--- a/packages/agent/src/load/meter.spec.ts
+++ b/packages/agent/src/load/loadMeter.spec.ts
@@ -1,6 +1,6 @@
 import { ManualClock } from '@jasmineroute/core';
 import { describe, expect, it } from 'vitest';
-import { LoadMeter } from './meter.js';
+import { LoadMeter } from './loadMeter.js';
 
 describe('LoadMeter', () => {
   it('measures the prefill rate over requests that the target runs one after the other', async () => {
--- a/packages/agent/src/order/executor.spec.ts
+++ b/packages/agent/src/order/executor.spec.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { ExecutorTestbed } from '../fixture/index.js';
-import { SettledNames } from './settled.js';
+import { SettledNames } from './settledNames.js';
 import { TURN_TTL_MS, Turn } from './turn.js';
 
 const { signal } = new AbortController();
--- a/packages/agent/src/order/executor.ts
+++ b/packages/agent/src/order/executor.ts
@@ -4,7 +4,7 @@
 import { agentEvents } from '../events.js';
 import { agentMetrics } from '../metrics.js';
 import { assign } from './assignment.js';
-import { SettledNames } from './settled.js';
+import { SettledNames } from './settledNames.js';
 import { stepsOf } from './step.js';
 import type { ReconcileInput, Step } from './step.js';
 import { StepTurns } from './stepTurns.js';
--- a/packages/agent/src/role/agent.ts
+++ b/packages/agent/src/role/agent.ts
@@ -16,7 +16,7 @@
 import type { GateTarget } from '../gate/index.js';
 import type { AgentSettings } from '../setting/index.js';
 import { CacheSynchroniser, EngineMonitor, targetIncarnation } from '../watch/index.js';
-import { OrderTask } from './orders.js';
+import { OrderTask } from './orderTask.js';
 
 /** Concurrent requests at a plain service without a configured capacity. */
 const DEFAULT_PLAIN_CAPACITY = 32;
--- a/packages/agent/src/run/engineCall.ts
+++ b/packages/agent/src/run/engineCall.ts
@@ -11,9 +11,9 @@
 import type { RequestMeasurement } from '../load/index.js';
 import { agentMetrics } from '../metrics.js';
 import { isOfEngine } from '../watch/incarnation.js';
-import type { EventBody, EventBuffer } from './buffer.js';
-import type { RunContext } from './context.js';
-import { stopReasonOr } from './stop.js';
+import type { EventBody, EventBuffer } from './eventBuffer.js';
+import type { RunContext } from './runContext.js';
+import { stopReasonOr } from './stopError.js';
 
 /** Timeout of a cancellation at the engine. */
 const CANCEL_TIMEOUT_MS = 1_000;
--- a/packages/agent/src/run/buffer.spec.ts
+++ b/packages/agent/src/run/eventBuffer.spec.ts
@@ -1,7 +1,7 @@
 import { ManualClock } from '@jasmineroute/core';
 import { describe, expect, it } from 'vitest';
-import { EventBuffer } from './buffer.js';
-import type { BufferBounds, EventBody } from './buffer.js';
+import { EventBuffer } from './eventBuffer.js';
+import type { BufferBounds, EventBody } from './eventBuffer.js';
 
 const bounds: BufferBounds = { unread: 1_000, behind: 10_000, behindMs: 5_000 };
 
--- a/packages/agent/src/run/reader.ts
+++ b/packages/agent/src/run/eventReader.ts
@@ -3,7 +3,7 @@
 import { create } from '@bufbuild/protobuf';
 import type { Cancellation, Clock } from '@jasmineroute/core';
 import { gateMessage } from '@jasmineroute/protocol';
-import type { EventBuffer } from './buffer.js';
+import type { EventBuffer } from './eventBuffer.js';
 
 /** Interval of heartbeats on a stream without events. */
 export const HEARTBEAT_MS = 500;
--- a/packages/agent/src/run/last.ts
+++ b/packages/agent/src/run/finalEvent.ts
@@ -2,7 +2,7 @@
 import type { Fault, Ran } from '@jasmineroute/core';
 import { gateMessage } from '@jasmineroute/protocol';
 import { create } from '@bufbuild/protobuf';
-import type { EventBody } from './buffer.js';
+import type { EventBody } from './eventBuffer.js';
 
 /** Message values that say whether a request has run. */
 export const ranMessages: Readonly<Record<Ran, gateMessage.Ran>> = {
--- a/packages/agent/src/run/index.ts
+++ b/packages/agent/src/run/index.ts
@@ -1,7 +1,7 @@
 /** Runs: executing an attempt at the target and buffering its events for readers. */
 export * from './attempts.js';
-export * from './buffer.js';
-export * from './context.js';
-export * from './last.js';
-export * from './reader.js';
+export * from './eventBuffer.js';
+export * from './runContext.js';
+export * from './finalEvent.js';
+export * from './eventReader.js';
 export * from './run.js';
--- a/packages/agent/src/run/run.ts
+++ b/packages/agent/src/run/run.ts
@@ -10,12 +10,12 @@
 import { agentEvents } from '../events.js';
 import type { RequestMeasurement } from '../load/index.js';
 import { agentMetrics } from '../metrics.js';
-import { EventBuffer } from './buffer.js';
-import type { RunContext } from './context.js';
+import { EventBuffer } from './eventBuffer.js';
+import type { RunContext } from './runContext.js';
 import { EngineCall } from './engineCall.js';
-import { finalEvent } from './last.js';
-import { EventReader } from './reader.js';
-import { StopError, stopReasonOr } from './stop.js';
+import { finalEvent } from './finalEvent.js';
+import { EventReader } from './eventReader.js';
+import { StopError, stopReasonOr } from './stopError.js';
 
 const EMPTY = new Uint8Array(0);
 
--- a/packages/agent/src/run/context.ts
+++ b/packages/agent/src/run/runContext.ts
@@ -4,7 +4,7 @@
 import type { gateMessage } from '@jasmineroute/protocol';
 import type { PrefillTurns } from '@jasmineroute/routing';
 import type { LoadMeter, Slots } from '../load/index.js';
-import type { BufferBounds } from './buffer.js';
+import type { BufferBounds } from './eventBuffer.js';
 
 /** Passed to each run. */
 export interface RunContext {
--- a/packages/agent/src/watch/index.ts
+++ b/packages/agent/src/watch/index.ts
@@ -1,4 +1,4 @@
 /** Monitoring of the target: its health, incarnation and cache. */
-export * from './cacheWatch.js';
-export * from './engineWatch.js';
+export * from './cacheSynchroniser.js';
+export * from './engineMonitor.js';
 export * from './incarnation.js';
