--- a/packages/agent/src/gate/gate.spec.ts
+++ b/packages/agent/src/gate/gate.spec.ts
@@ -185,8 +185,8 @@
   });
 
   it('does not report as not run what a predecessor may have accepted', async () => {
-    // Cancel of a request that has run is answered NOT_RUN. An agent sends a run to the engine and dies, and its successor
-    // takes an attempt that it does not know for one that never arrived.
+    // Cancel of a request that has run is answered NOT_RUN. An agent sends a run to the engine and dies, and its
+    // successor takes an unknown attempt for one that never arrived.
     const testbed = await startTestbed();
     expect(await testbed.cancel('a-1', 'engine-1/76')).toBe(Ran.MAY_HAVE_RUN);
     expect(await testbed.cancel('a-2', '')).toBe(Ran.MAY_HAVE_RUN);
--- a/packages/agent/src/load/loadMeter.ts
+++ b/packages/agent/src/load/loadMeter.ts
@@ -75,7 +75,10 @@
     return longest;
   }
 
-  /** Starts measuring a request on its arrival. @param onFirst called with the milliseconds from sending to the first byte. */
+  /**
+   * Starts measuring a request on its arrival.
+   * @param onFirst called with the milliseconds from sending to the first byte.
+   */
   track(
     priority: number,
     tokens: number,
--- a/packages/agent/src/order/executor.ts
+++ b/packages/agent/src/order/executor.ts
@@ -11,7 +11,7 @@
 import type { StepTurnsOptions } from './stepTurns.js';
 import type { Turn } from './turn.js';
 
-/** Pause when no step is due. All pauses get a random extra of up to their own length, so that targets do not act in step. */
+/** Pause when no step is due. Jitter up to doubles every pause, so that targets do not all act at once. */
 const IDLE_PAUSE_MS = 2_000;
 
 /**
@@ -51,7 +51,10 @@
 /** Result of a round: a step was executed, none is due, or those that are due cannot run yet. */
 type Progress = 'done' | 'idle' | 'not-now';
 
-/** Derives its orders from the current view. Orders are never sent to it, so it cannot act on a delayed or forged one. */
+/**
+ * Derives its orders from the current view. It receives no orders from other processes, so it cannot act on a delayed
+ * or forged one.
+ */
 export class Executor {
   private wake?: () => void;
   private isWakeRequested = false;
--- a/packages/agent/src/order/turn.ts
+++ b/packages/agent/src/order/turn.ts
@@ -12,7 +12,7 @@
 /** Timeout of a call to the control instances. */
 const CALL_TIMEOUT_MS = 2_000;
 
-/** Part of the lease time before its end in which the turn no longer counts as held, so that no order is sent at the last moment. */
+/** Fraction of the lease time before its end in which the turn no longer counts as held, so that no order is sent late. */
 const EXPIRY_MARGIN = 0.1;
 
 /** Grants turns; in production, a quorum of control instances. */
