--- a/packages/entry/src/answer/answer.ts
+++ b/packages/entry/src/answer/answer.ts
@@ -5,9 +5,9 @@
 import type { Call } from '../call/index.js';
 import type { AttemptSink } from '../gate/index.js';
 import type { Reply } from '../http/reply.js';
-import { EventBoundary, MAX_EVENT_BYTES } from './boundary.js';
+import { EventFramer, MAX_EVENT_BYTES } from './boundary.js';
 import { continuationOf } from './continuation.js';
-import { Keeper } from './keeper.js';
+import { BoundedBuffer } from './keeper.js';
 import { readProgress } from './progress.js';
 import { EventRewriter } from './rewriter.js';
 
@@ -49,13 +49,13 @@
   private streaming = false;
   private started = false;
   /** Head of a later attempt that can't continue what was begun. */
-  private unfit = false;
+  private isIncompatible = false;
   private failure: Fault | undefined;
-  private held: Keeper;
-  private kept: Keeper;
-  private boundary = new EventBoundary();
+  private holdBuffer: BoundedBuffer;
+  private keepBuffer: BoundedBuffer;
+  private framer = new EventFramer();
   private rewriter: EventRewriter | undefined;
-  private chunkAt: number | undefined;
+  private firstChunkTime: number | undefined;
   private onFirstChunk: () => void = () => undefined;
   private lastBytes: Uint8Array = new Uint8Array(0);
 
@@ -65,34 +65,34 @@
     private readonly clock: Clock,
     private readonly bounds: AnswerBounds,
   ) {
-    this.held = new Keeper(bounds.holdBytes);
-    this.kept = new Keeper(bounds.keepBytes);
+    this.holdBuffer = new BoundedBuffer(bounds.holdBytes);
+    this.keepBuffer = new BoundedBuffer(bounds.keepBytes);
   }
 
   /** Monotonic time of the first body byte since `expectFirstChunk`. */
   get firstChunkAt(): number | undefined {
-    return this.chunkAt;
+    return this.firstChunkTime;
   }
 
   /** An attempt begins; calls back once when its first body byte comes. */
   expectFirstChunk(onFirstChunk: () => void): void {
-    this.chunkAt = undefined;
+    this.firstChunkTime = undefined;
     this.onFirstChunk = onFirstChunk;
   }
 
   /** Whether any byte of the answer went to the caller. */
-  get begun(): boolean {
+  get hasStarted(): boolean {
     return this.started;
   }
 
   /** Whether the target answered that it failed, so that another one may be asked. */
-  get rejected(): boolean {
-    return this.unfit || (!this.started && RETRY_STATUSES.has(this.status));
+  get hasTargetError(): boolean {
+    return this.isIncompatible || (!this.started && RETRY_STATUSES.has(this.status));
   }
 
   /** Whether the end marker of a stream has gone out: whatever breaks now, the caller has its whole answer. */
-  get marked(): boolean {
-    return this.started && this.streaming && this.call.model !== undefined && this.endMarked();
+  get isEndMarkerSent(): boolean {
+    return this.started && this.streaming && this.call.model !== undefined && this.endsWithMarker();
   }
 
   /** The target's status, 0 before its head. */
@@ -104,7 +104,7 @@
     const type = contentTypeOf(headers);
     const events = type.startsWith(EVENT_STREAM);
     if (this.started) {
-      this.unfit = status !== this.status || !events || !this.streaming;
+      this.isIncompatible = status !== this.status || !events || !this.streaming;
       return;
     }
     if (status < 200 || status > 599) this.failure = fault('engine-failed', `the target answered ${status}`);
@@ -117,49 +117,49 @@
   }
 
   chunk(bytes: Uint8Array): Promise<void> | undefined {
-    if (this.unfit) return undefined;
-    if (this.chunkAt === undefined) this.takeFirst();
-    return this.streaming ? this.streamed(bytes) : this.plain(bytes);
+    if (this.isIncompatible) return undefined;
+    if (this.firstChunkTime === undefined) this.recordFirstChunk();
+    return this.streaming ? this.writeStream(bytes) : this.writePlain(bytes);
   }
 
-  quiet(): void {
+  onHeartbeat(): void {
     this.reply.ping(this.bounds.pingMs);
   }
 
   /** The last event of an attempt came. @returns a fault when the answer is not whole all the same. */
   finish(): Fault | undefined {
-    const problem = this.incompleteness();
+    const problem = this.checkComplete();
     if (problem !== undefined) return problem;
     if (this.streaming || this.started) this.reply.end();
-    else this.reply.send(this.status, this.headers, Buffer.concat(this.held.all), this.ran());
+    else this.reply.send(this.status, this.headers, Buffer.concat(this.holdBuffer.chunks), this.runState());
     return undefined;
   }
 
   /** An attempt broke: what can be done so that the caller misses nothing and gets nothing twice. */
   recover(): Recovery {
-    this.boundary.drop();
-    this.unfit = false;
+    this.framer.discard();
+    this.isIncompatible = false;
     this.failure = undefined;
     if (!this.started) {
       this.reset();
       return { type: 'ask', body: this.call.body, tokens: 0 };
     }
     if (!this.streaming || this.call.model === undefined) return { type: 'impossible' };
-    if (this.kept.overflown) return { type: 'impossible' };
+    if (this.keepBuffer.hasOverflowed) return { type: 'impossible' };
     return this.continueStream();
   }
 
   /** The whole answer, when it is small enough to keep. */
-  keep(limit: number): KeptAnswer | undefined {
-    const bytes = this.kept;
-    if (bytes.overflown || this.status === 0) return undefined;
-    const body = Buffer.concat(bytes.all);
+  toKeptAnswer(limit: number): KeptAnswer | undefined {
+    const bytes = this.keepBuffer;
+    if (bytes.hasOverflowed || this.status === 0) return undefined;
+    const body = Buffer.concat(bytes.chunks);
     if (body.length > limit) return undefined;
     return { status: this.status, contentType: contentTypeOf(this.headers), body };
   }
 
-  private takeFirst(): void {
-    this.chunkAt = this.clock.monotonic();
+  private recordFirstChunk(): void {
+    this.firstChunkTime = this.clock.monotonic();
     this.onFirstChunk();
   }
 
@@ -167,68 +167,68 @@
     this.status = 0;
     this.headers = [];
     this.streaming = false;
-    this.held = new Keeper(this.bounds.holdBytes);
-    this.kept = new Keeper(this.bounds.keepBytes);
+    this.holdBuffer = new BoundedBuffer(this.bounds.holdBytes);
+    this.keepBuffer = new BoundedBuffer(this.bounds.keepBytes);
   }
 
   private continueStream(): Recovery {
-    const progress = readProgress(this.kept.all);
-    const next = continuationOf(this.call, progress);
-    if (next.type === 'impossible') return next;
+    const progress = readProgress(this.keepBuffer.chunks);
+    const continuation = continuationOf(this.call, progress);
+    if (continuation.type === 'impossible') return continuation;
     const rewriter = new EventRewriter(progress);
-    if (next.type === 'ask') {
+    if (continuation.type === 'ask') {
       this.rewriter = progress.events === 0 ? undefined : rewriter;
-      return { type: 'ask', body: next.body, tokens: progress.tokens };
+      return { type: 'ask', body: continuation.body, tokens: progress.tokens };
     }
-    const ending = rewriter.ending(next.reason, this.call.path.startsWith('/v1/chat/'));
-    this.note(ending);
-    void this.reply.write(ending);
+    const finalEvents = rewriter.finalEvents(continuation.reason, this.call.path.startsWith('/v1/chat/'));
+    this.retain(finalEvents);
+    void this.reply.write(finalEvents);
     return { type: 'whole' };
   }
 
-  private streamed(bytes: Uint8Array): Promise<void> | undefined {
-    const whole = this.boundary.push(bytes);
-    if (this.boundary.pending > MAX_EVENT_BYTES)
+  private writeStream(bytes: Uint8Array): Promise<void> | undefined {
+    const completeEvents = this.framer.push(bytes);
+    if (this.framer.pendingBytes > MAX_EVENT_BYTES)
       this.failure = fault('engine-failed', 'an event is too large');
-    if (whole.length === 0 || this.failure !== undefined) return undefined;
-    const out = this.rewriter === undefined ? whole : this.rewriter.push(whole);
-    this.note(out);
+    if (completeEvents.length === 0 || this.failure !== undefined) return undefined;
+    const out = this.rewriter === undefined ? completeEvents : this.rewriter.push(completeEvents);
+    this.retain(out);
     return this.reply.write(out);
   }
 
-  private plain(bytes: Uint8Array): Promise<void> | undefined {
-    this.note(bytes);
+  private writePlain(bytes: Uint8Array): Promise<void> | undefined {
+    this.retain(bytes);
     if (this.started) return this.reply.write(bytes);
-    const all = this.held.add(bytes);
+    const all = this.holdBuffer.add(bytes);
     if (all === undefined) return undefined;
     // Too large to hold: it goes out, and from here on a break can only cut the connection.
     this.started = true;
-    this.reply.head(this.status, this.headers, this.ran());
+    this.reply.head(this.status, this.headers, this.runState());
     return this.reply.write(Buffer.concat(all));
   }
 
-  private note(bytes: Uint8Array): void {
+  private retain(bytes: Uint8Array): void {
     this.lastBytes = bytes;
-    this.kept.add(bytes);
+    this.keepBuffer.add(bytes);
   }
 
-  private incompleteness(): Fault | undefined {
+  private checkComplete(): Fault | undefined {
     if (this.failure !== undefined) return this.failure;
     if (this.status === 0) return fault('engine-failed', 'the target gave no answer');
     if (!this.streaming) return undefined;
-    if (this.boundary.pending > 0) return fault('stream-broken', 'the stream ended inside an event');
-    if (this.call.model !== undefined && !this.endMarked()) {
+    if (this.framer.pendingBytes > 0) return fault('stream-broken', 'the stream ended inside an event');
+    if (this.call.model !== undefined && !this.endsWithMarker()) {
       return fault('stream-broken', 'the stream ended without its end marker');
     }
     return undefined;
   }
 
-  private endMarked(): boolean {
+  private endsWithMarker(): boolean {
     const tail = this.lastBytes.subarray(-64);
     return Buffer.from(tail).toString('latin1').trimEnd().endsWith(END_MARKER);
   }
 
-  private ran(): 'ran' | 'may-have-run' {
+  private runState(): 'ran' | 'may-have-run' {
     return this.status >= 500 ? 'may-have-run' : 'ran';
   }
 }
--- a/packages/entry/src/answer/boundary.ts
+++ b/packages/entry/src/answer/boundary.ts
@@ -6,10 +6,10 @@
 /** Largest event that is held back. */
 export const MAX_EVENT_BYTES = 8 * 1024 * 1024;
 
-const nothing = new Uint8Array(0);
+const noBytes = new Uint8Array(0);
 
 /** Index after the last blank line of `bytes`, or 0. */
-function lastBoundary(bytes: Uint8Array): number {
+function lastEventEnd(bytes: Uint8Array): number {
   for (let at = bytes.length - 1; at > 0; at -= 1) {
     if (bytes[at] !== LINE_FEED) continue;
     const before = bytes[at - 1] === CARRIAGE_RETURN ? at - 2 : at - 1;
@@ -22,24 +22,24 @@
  * Passes on whole events only. A target can be lost inside an event: had its first half gone out, neither an
  * error event nor the rest of the answer from another target could follow it.
  */
-export class EventBoundary {
-  private rest: Uint8Array = nothing;
+export class EventFramer {
+  private incomplete: Uint8Array = noBytes;
 
   /** Bytes that wait for the end of their event. */
-  get pending(): number {
-    return this.rest.length;
+  get pendingBytes(): number {
+    return this.incomplete.length;
   }
 
   /** Takes bytes and gives those up to the end of the last whole event, unchanged. */
   push(bytes: Uint8Array): Uint8Array {
-    const all = this.rest.length === 0 ? bytes : Buffer.concat([this.rest, bytes]);
-    const end = lastBoundary(all);
-    this.rest = end === all.length ? nothing : all.subarray(end);
+    const all = this.incomplete.length === 0 ? bytes : Buffer.concat([this.incomplete, bytes]);
+    const end = lastEventEnd(all);
+    this.incomplete = end === all.length ? noBytes : all.subarray(end);
     return end === all.length ? all : all.subarray(0, end);
   }
 
   /** Forgets the cut-off event. */
-  drop(): void {
-    this.rest = nothing;
+  discard(): void {
+    this.incomplete = noBytes;
   }
 }
--- a/packages/entry/src/answer/continuation.ts
+++ b/packages/entry/src/answer/continuation.ts
@@ -8,7 +8,7 @@
 
 const message = z.looseObject({ role: z.string(), content: z.unknown().optional() });
 
-const continuable = z.looseObject({
+const continuableBody = z.looseObject({
   prompt: z.string().optional(),
   messages: z.array(message).optional(),
   n: z.literal(1).nullish(),
@@ -19,7 +19,7 @@
   continue_final_message: z.boolean().nullish(),
 });
 
-type Body = z.output<typeof continuable>;
+type Body = z.output<typeof continuableBody>;
 
 /** Fields with which the rest of an answer depends on more than the text so far. */
 const STATEFUL_FIELDS = [
@@ -50,8 +50,8 @@
 
 /** How to go on with the answer to a call whose caller has `progress` of it. */
 export function continuationOf(call: Call, progress: Progress): Continuation {
-  if (!progress.plainText) return impossible;
-  const parsed = continuable.safeParse(JSON.parse(Buffer.from(call.body).toString('utf8')));
+  if (!progress.isPlainText) return impossible;
+  const parsed = continuableBody.safeParse(JSON.parse(Buffer.from(call.body).toString('utf8')));
   if (!parsed.success) return impossible;
   const body = parsed.data;
   if (progress.finished) return wantsUsage(body) && !progress.usageSent ? impossible : finished;
@@ -85,7 +85,7 @@
   if (body.prompt === undefined) return undefined;
   const limit = body.max_tokens ?? COMPLETION_TOKENS;
   return {
-    ...reduced(body, progress.tokens),
+    ...withReducedLimits(body, progress.tokens),
     prompt: body.prompt + progress.text,
     max_tokens: limit - progress.tokens,
   };
@@ -95,7 +95,7 @@
   const messages = body.messages ?? [];
   const last = messages.at(-1);
   const shared = {
-    ...reduced(body, progress.tokens),
+    ...withReducedLimits(body, progress.tokens),
     continue_final_message: true,
     add_generation_prompt: false,
   };
@@ -110,7 +110,7 @@
 }
 
 /** The body with its token limits lowered by what was sent. */
-function reduced(body: Body, tokens: number): Body {
+function withReducedLimits(body: Body, tokens: number): Body {
   const next: Body = { ...body };
   if (typeof body.max_tokens === 'number') next.max_tokens = body.max_tokens - tokens;
   if (typeof body.max_completion_tokens === 'number') {
--- a/packages/entry/src/answer/progress.ts
+++ b/packages/entry/src/answer/progress.ts
@@ -3,7 +3,7 @@
 import * as z from 'zod';
 
 /** Data of the event that ends an answer. */
-export const DONE = '[DONE]';
+export const DONE_DATA = '[DONE]';
 
 const usage = z.looseObject({
   prompt_tokens: z.number().optional(),
@@ -40,7 +40,7 @@
   /** Events so far. */
   readonly events: number;
   /** Whether events carry `id:` lines. */
-  readonly numbered: boolean;
+  readonly hasEventIds: boolean;
   /** Fields of the first event, which all events of one answer share. */
   readonly first: Pick<ChunkBody, 'id' | 'created' | 'model'>;
   /** The caller has been told the role of the answer. */
@@ -52,12 +52,12 @@
   /** The end marker was sent. */
   readonly done: boolean;
   /** Nothing but one choice of plain text came: only that can be continued. */
-  readonly plainText: boolean;
+  readonly isPlainText: boolean;
 }
 
-type Draft = { -readonly [Key in keyof Progress]: Progress[Key] };
+type MutableProgress = { -readonly [Key in keyof Progress]: Progress[Key] };
 
-const TEXT_FIELDS = new Set([
+const OUTPUT_FIELDS = new Set([
   'role',
   'content',
   'refusal',
@@ -65,26 +65,26 @@
   'tool_calls',
   'function_call',
 ]);
-const PLAIN_FIELDS = new Set(['role', 'content']);
+const PLAIN_TEXT_FIELDS = new Set(['role', 'content']);
 
 /** Reads the events that were sent. Only done when a stream breaks: the hot path never parses. */
 export function readProgress(sent: readonly Uint8Array[]): Progress {
-  const draft: Draft = {
+  const draft: MutableProgress = {
     text: '',
     tokens: 0,
     events: 0,
-    numbered: false,
+    hasEventIds: false,
     first: {},
     roleSent: false,
     finished: false,
     usageSent: false,
     done: false,
-    plainText: true,
+    isPlainText: true,
   };
   const parser = createParser({
     onEvent: (event) => {
-      if (event.id !== undefined) draft.numbered = true;
-      takeEvent(draft, event.data);
+      if (event.id !== undefined) draft.hasEventIds = true;
+      applyEvent(draft, event.data);
     },
   });
   const decoder = new TextDecoder();
@@ -92,27 +92,27 @@
   return draft;
 }
 
-function takeEvent(draft: Draft, data: string): void {
+function applyEvent(draft: MutableProgress, data: string): void {
   draft.events += 1;
-  if (data === DONE) {
+  if (data === DONE_DATA) {
     draft.done = true;
     return;
   }
   const body = parseChunk(data);
   if (body === undefined || body.error !== undefined) {
-    draft.plainText = false;
+    draft.isPlainText = false;
     return;
   }
   if (draft.events === 1) draft.first = { id: body.id, created: body.created, model: body.model };
   if (body.usage !== undefined && body.usage !== null) draft.usageSent = true;
   const choices = body.choices ?? [];
-  if (choices.length > 1) draft.plainText = false;
+  if (choices.length > 1) draft.isPlainText = false;
   const [only] = choices;
-  if (only !== undefined) takeChoice(draft, only);
+  if (only !== undefined) applyChoice(draft, only);
 }
 
-function takeChoice(draft: Draft, only: ChunkChoice): void {
-  if ((only.index ?? 0) !== 0 || !plainDelta(only)) draft.plainText = false;
+function applyChoice(draft: MutableProgress, only: ChunkChoice): void {
+  if ((only.index ?? 0) !== 0 || !isPlainDelta(only)) draft.isPlainText = false;
   const text = only.text ?? only.delta?.content ?? '';
   if (text !== '') draft.tokens += 1;
   draft.text += text;
@@ -120,11 +120,11 @@
   if (typeof only.finish_reason === 'string') draft.finished = true;
 }
 
-function plainDelta({ delta }: ChunkChoice): boolean {
+function isPlainDelta({ delta }: ChunkChoice): boolean {
   if (delta === undefined) return true;
   return Object.entries(delta).every(
     ([name, value]) =>
-      PLAIN_FIELDS.has(name) || !TEXT_FIELDS.has(name) || value === null || value === undefined,
+      PLAIN_TEXT_FIELDS.has(name) || !OUTPUT_FIELDS.has(name) || value === null || value === undefined,
   );
 }
 
--- a/packages/entry/src/answer/rewriter.ts
+++ b/packages/entry/src/answer/rewriter.ts
@@ -1,7 +1,7 @@
 /** Makes the events of a continued answer look like those of its first attempt. */
 import { createParser } from 'eventsource-parser';
 import type { EventSourceMessage } from 'eventsource-parser';
-import { DONE, parseChunk } from './progress.js';
+import { DONE_DATA, parseChunk } from './progress.js';
 import type { ChunkBody, Progress } from './progress.js';
 
 /** Writes events as the first attempt would have written them: ids, numbers, role and usage fit together. */
@@ -10,14 +10,14 @@
   private readonly out: string[] = [];
   private readonly parser = createParser({
     onEvent: (event) => {
-      this.take(event);
+      this.handleEvent(event);
     },
   });
-  private number: number;
+  private nextEventId: number;
 
-  /** @param sent what the caller has. */
-  constructor(private readonly sent: Progress) {
-    this.number = sent.events;
+  /** @param progress what the caller has. */
+  constructor(private readonly progress: Progress) {
+    this.nextEventId = progress.events;
   }
 
   /** Takes whole events and gives the rewritten ones. */
@@ -27,19 +27,19 @@
   }
 
   /** The events that end an answer whose tokens were all sent. */
-  ending(reason: 'finished' | 'length', chat: boolean): Uint8Array {
+  finalEvents(reason: 'finished' | 'length', chat: boolean): Uint8Array {
     if (reason === 'length') {
       const empty = chat ? { delta: {} } : { text: '' };
       const object = chat ? 'chat.completion.chunk' : 'text_completion';
       const choices = [{ index: 0, ...empty, finish_reason: 'length' }];
-      this.write(JSON.stringify({ ...this.sent.first, object, choices }));
+      this.write(JSON.stringify({ ...this.progress.first, object, choices }));
     }
-    this.write(DONE);
+    this.write(DONE_DATA);
     return Buffer.from(this.out.splice(0).join(''));
   }
 
-  private take({ data }: EventSourceMessage): void {
-    const body = data === DONE ? undefined : parseChunk(data);
+  private handleEvent({ data }: EventSourceMessage): void {
+    const body = data === DONE_DATA ? undefined : parseChunk(data);
     if (body === undefined) {
       this.write(data);
       return;
@@ -49,18 +49,18 @@
   }
 
   private write(data: string): void {
-    const id = this.sent.numbered ? `id: ${this.number}\n` : '';
-    this.number += 1;
+    const id = this.progress.hasEventIds ? `id: ${this.nextEventId}\n` : '';
+    this.nextEventId += 1;
     const lines = data.split('\n').map((line) => `data: ${line}\n`);
     this.out.push(`${id}${lines.join('')}\n`);
   }
 
   /** @returns undefined when nothing of the event is left: the caller has been told the role already. */
   private rewrite(body: ChunkBody): ChunkBody | undefined {
-    const { first, tokens, roleSent } = this.sent;
-    const next: ChunkBody = { ...body, ...defined(first) };
+    const { first, tokens, roleSent } = this.progress;
+    const next: ChunkBody = { ...body, ...withoutUndefined(first) };
     if (roleSent) next.choices = body.choices?.map((choice) => withoutRole(choice));
-    if (body.usage !== undefined && body.usage !== null) next.usage = shifted(body.usage, tokens);
+    if (body.usage !== undefined && body.usage !== null) next.usage = correctUsage(body.usage, tokens);
     const [only] = body.choices ?? [];
     const roleOnly = roleSent && typeof only?.delta?.role === 'string';
     const empty = (only?.delta?.content ?? '') === '' && typeof only?.finish_reason !== 'string';
@@ -78,7 +78,10 @@
 }
 
 /** Counts the text so far as output again: for the second target it was a part of the prompt. */
-function shifted(usage: NonNullable<ChunkBody['usage']>, tokens: number): NonNullable<ChunkBody['usage']> {
+function correctUsage(
+  usage: NonNullable<ChunkBody['usage']>,
+  tokens: number,
+): NonNullable<ChunkBody['usage']> {
   return {
     ...usage,
     prompt_tokens: Math.max(0, (usage.prompt_tokens ?? 0) - tokens),
@@ -86,6 +89,6 @@
   };
 }
 
-function defined<T extends object>(fields: T): Partial<T> {
+function withoutUndefined<T extends object>(fields: T): Partial<T> {
   return Object.fromEntries(Object.entries(fields).filter(([, value]) => value !== undefined)) as Partial<T>;
 }
--- a/packages/entry/src/call/call.ts
+++ b/packages/entry/src/call/call.ts
@@ -19,7 +19,7 @@
 }
 
 /** What a model call asks for. */
-export interface ModelPart {
+export interface RequestedModel {
   readonly prompt: Prompt;
   readonly weights: Model;
   /** "name@version", or empty. */
@@ -49,5 +49,5 @@
    */
   readonly persistent: boolean;
   /** Model services only. */
-  readonly model?: ModelPart;
+  readonly model?: RequestedModel;
 }
--- a/packages/entry/src/call/candidates.ts
+++ b/packages/entry/src/call/candidates.ts
@@ -1,7 +1,7 @@
 /** The targets that may take a call. */
 import type { Candidate } from '@jasmineroute/routing';
 import type { Health, Instance, LoadedModel, View } from '@jasmineroute/directory';
-import type { Call, ModelPart } from './call.js';
+import type { Call, RequestedModel } from './call.js';
 
 /** A candidate and where its gate listens. */
 export interface GateCandidate extends Candidate {
@@ -9,29 +9,29 @@
   readonly address: string;
 }
 
-const healthsTakingWork: ReadonlySet<Health> = new Set(['alive', 'suspect']);
+const availableHealths: ReadonlySet<Health> = new Set(['alive', 'suspect']);
 
 /** Whether an instance stands beside a target of the service that is up, ready and not leaving. */
-export function isTakingWork({ health, target }: Instance, service: string): boolean {
-  return target?.service === service && healthsTakingWork.has(health) && target.ready;
+export function isAvailable({ health, target }: Instance, service: string): boolean {
+  return target?.service === service && availableHealths.has(health) && target.ready;
 }
 
 /**
  * Targets of the call's service that take work and have the model, the adapter and exactly the given weights in
  * memory. @param model absent: a plain service.
  */
-export function candidatesOf(call: Call, model: ModelPart | undefined, view: View): GateCandidate[] {
+export function candidatesOf(call: Call, model: RequestedModel | undefined, view: View): GateCandidate[] {
   const found: GateCandidate[] = [];
   for (const instance of view.instances.values()) {
     const { target } = instance;
-    if (target === undefined || !isTakingWork(instance, call.service.service)) continue;
-    if (model !== undefined && !target.models.some((loaded) => fits(loaded, model))) continue;
-    found.push(candidate(instance, target.engineIncarnation, target.capacity));
+    if (target === undefined || !isAvailable(instance, call.service.service)) continue;
+    if (model !== undefined && !target.models.some((loaded) => hasWantedModel(loaded, model))) continue;
+    found.push(candidateFrom(instance, target.engineIncarnation, target.capacity));
   }
   return found;
 }
 
-function candidate(instance: Instance, engineIncarnation: string, capacity: number): GateCandidate {
+function candidateFrom(instance: Instance, engineIncarnation: string, capacity: number): GateCandidate {
   return {
     name: instance.name,
     address: instance.address,
@@ -42,7 +42,7 @@
   };
 }
 
-function fits(loaded: LoadedModel, wanted: ModelPart): boolean {
+function hasWantedModel(loaded: LoadedModel, wanted: RequestedModel): boolean {
   if (loaded.model !== wanted.weights.name || loaded.version !== wanted.weights.version) return false;
   return wanted.adapter === '' || loaded.adapters.includes(wanted.adapter);
 }
--- a/packages/entry/src/call/header.ts
+++ b/packages/entry/src/call/header.ts
@@ -30,7 +30,7 @@
 ]);
 
 /** Fields that end here: of one connection, or for the entry itself. */
-const ENTRY_FIELDS = new Set([
+const NOT_FORWARDED_FIELDS = new Set([
   'authorization',
   'connection',
   'content-length',
@@ -49,12 +49,12 @@
 
 /** The caller's request id if it is a valid one, else a fresh one. */
 export function requestIdOf(incoming: IncomingMessage): string {
-  const given = incoming.headers[REQUEST_ID_HEADER];
-  return typeof given === 'string' && REQUEST_ID.test(given) ? given : newId('req');
+  const requestId = incoming.headers[REQUEST_ID_HEADER];
+  return typeof requestId === 'string' && REQUEST_ID.test(requestId) ? requestId : newId('req');
 }
 
 /** Trace context of a request. */
-export function carrierIn(incoming: IncomingMessage): Carrier {
+export function traceContextOf(incoming: IncomingMessage): Carrier {
   const { traceparent, tracestate } = incoming.headers;
   if (typeof traceparent !== 'string') return {};
   return typeof tracestate === 'string' ? { traceparent, tracestate } : { traceparent };
@@ -76,7 +76,7 @@
     method: incoming.method ?? 'GET',
     path: incoming.url ?? '/',
     host: single.get('host'),
-    headers: forwarded(fields, single.get('connection')),
+    headers: forwardedFields(fields, single.get('connection')),
     key,
     idempotencyKey: single.get(IDEMPOTENCY_HEADER),
     deadlineMs: deadline === undefined ? undefined : Number(deadline),
@@ -125,7 +125,7 @@
 }
 
 /** Leaves out what ends here, and what the `Connection` field names. */
-function forwarded(fields: readonly HeaderField[], connection = ''): HeaderField[] {
+function forwardedFields(fields: readonly HeaderField[], connection = ''): HeaderField[] {
   const named = new Set(connection.split(',').map((name) => name.trim().toLowerCase()));
-  return fields.filter(({ name }) => !ENTRY_FIELDS.has(name) && !named.has(name));
+  return fields.filter(({ name }) => !NOT_FORWARDED_FIELDS.has(name) && !named.has(name));
 }
--- a/packages/entry/src/call/resolve.ts
+++ b/packages/entry/src/call/resolve.ts
@@ -8,11 +8,11 @@
 import type { Prompt } from '@jasmineroute/engine';
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
-import type { Call, CallerRequest, ModelPart } from './call.js';
+import type { Call, CallerRequest, RequestedModel } from './call.js';
 import { tablesOf } from './tables.js';
 
 /** What is known before the body is read. */
-export interface Admitted {
+export interface ResolvedRequest {
   /** Largest body that may come. */
   readonly bodyBytes: number;
   /** Finishes the check with the body. */
@@ -26,11 +26,11 @@
 }
 
 /** Checks all that can be checked without the body, so that no stranger's body is held. */
-export function admitRequest(request: CallerRequest, view: View): Result<Admitted, Fault> {
-  if (promptPaths.includes(pathOf(request))) return admitModel(request, view);
+export function resolveRequest(request: CallerRequest, view: View): Result<ResolvedRequest, Fault> {
+  if (promptPaths.includes(pathOf(request))) return resolveModelRequest(request, view);
   const service = tablesOf(view).routes.match(request.host, request.path);
   if (service === undefined) return err(fault('unknown-route', 'no service has this path and host'));
-  return admitPlain(request, service);
+  return resolvePlainRequest(request, service);
 }
 
 /** The models that a customer may call, each with its service. */
@@ -39,7 +39,7 @@
   return services.map((found) => found.flatMap((service) => service.models));
 }
 
-function admitModel(request: CallerRequest, view: View): Result<Admitted, Fault> {
+function resolveModelRequest(request: CallerRequest, view: View): Result<ResolvedRequest, Fault> {
   if (request.method !== 'POST') return err(fault('method-not-allowed', 'this path takes POST'));
   const type = headerOf(request, 'content-type') ?? '';
   if (!/^application\/json(?:\s*;|$)/i.test(type)) {
@@ -49,7 +49,7 @@
   if (encoding !== 'identity') return err(fault('unsupported-media-type', 'the body must not be compressed'));
   return servicesOf(request, view).map((services) => ({
     bodyBytes: Math.max(...services.map((service) => service.limits.bodyBytes)),
-    complete: (body) => completeModel(request, view, services, body),
+    complete: (body) => completeModelCall(request, view, services, body),
   }));
 }
 
@@ -62,7 +62,7 @@
   return ok(services);
 }
 
-function completeModel(
+function completeModelCall(
   request: CallerRequest,
   view: View,
   services: readonly ModelService[],
@@ -76,11 +76,11 @@
       );
     }
     if (body.length > service.limits.bodyBytes) return err(tooLarge(service.limits.bodyBytes));
-    return modelPart(service, prompt).map((model) => callOf(request, service, body, model));
+    return findModel(service, prompt).map((model) => createCall(request, service, body, model));
   });
 }
 
-function modelPart(service: ModelService, prompt: Prompt): Result<ModelPart, Fault> {
+function findModel(service: ModelService, prompt: Prompt): Result<RequestedModel, Fault> {
   const weights = service.models.find((model) => model.name === prompt.model);
   if (weights === undefined) return err(fault('unknown-model', `there is no model ${prompt.model}`));
   if (prompt.adapter === '') return ok({ prompt, weights, adapter: '' });
@@ -93,22 +93,22 @@
   return ok({ prompt, weights, adapter: `${adapter.name}@${adapter.version}` });
 }
 
-function admitPlain(request: CallerRequest, service: PlainService): Result<Admitted, Fault> {
+function resolvePlainRequest(request: CallerRequest, service: PlainService): Result<ResolvedRequest, Fault> {
   const customer = request.key === undefined ? undefined : customerOf(service, request.key);
   if (service.authenticated && customer === undefined) {
     return err(fault('unauthenticated', 'a bearer key of a customer of this service is needed'));
   }
   return ok({
     bodyBytes: service.limits.bodyBytes,
-    complete: (body) => ok(callOf(request, service, body, undefined)),
+    complete: (body) => ok(createCall(request, service, body, undefined)),
   });
 }
 
-function callOf(
+function createCall(
   request: CallerRequest,
   service: RoutedService,
   body: Uint8Array,
-  model: ModelPart | undefined,
+  model: RequestedModel | undefined,
 ): Call {
   const customer = request.key === undefined ? undefined : customerOf(service, request.key);
   const { deadlines } = service;
@@ -122,7 +122,7 @@
     requestId: request.requestId,
     service,
     customer: customer?.name ?? '',
-    priority: levelOf(service, customer),
+    priority: priorityOf(service, customer),
     method: request.method,
     path: request.path,
     headers: request.headers,
@@ -135,7 +135,7 @@
   };
 }
 
-function levelOf(service: RoutedService, customer: Customer | undefined): number {
+function priorityOf(service: RoutedService, customer: Customer | undefined): number {
   if (customer !== undefined) return priorityLevel(service, customer);
   return service.priorities[0]?.level ?? 0;
 }
--- a/packages/entry/src/call/tables.ts
+++ b/packages/entry/src/call/tables.ts
@@ -12,18 +12,18 @@
 }
 
 /** Views replace their documents as a whole, so tables live as long as the documents do. */
-const known = new WeakMap<View['documents'], ServiceTables>();
+const tablesByDocuments = new WeakMap<View['documents'], ServiceTables>();
 
 /** The tables of a view, built once for each set of documents. */
 export function tablesOf(view: View): ServiceTables {
-  const found = known.get(view.documents);
-  if (found !== undefined) return found;
-  const built = build([...view.documents.values()].map(({ document }) => document));
-  known.set(view.documents, built);
-  return built;
+  const cached = tablesByDocuments.get(view.documents);
+  if (cached !== undefined) return cached;
+  const tables = buildTables([...view.documents.values()].map(({ document }) => document));
+  tablesByDocuments.set(view.documents, tables);
+  return tables;
 }
 
-function build(documents: readonly Document[]): ServiceTables {
+function buildTables(documents: readonly Document[]): ServiceTables {
   const modelServices = documents.filter((document) => document.kind === 'model');
   const models = new Map<string, ModelService>();
   for (const service of modelServices) {
--- a/packages/entry/src/claim/attemptId.ts
+++ b/packages/entry/src/claim/attemptId.ts
@@ -28,7 +28,7 @@
 }
 
 /** Reads an attempt id; undefined for one that no entry made. */
-export function originOf(attemptId: string): AttemptOrigin | undefined {
+export function parseAttemptId(attemptId: string): AttemptOrigin | undefined {
   const [entry, incarnation, , requestId, ...rest] = attemptId.split(SEPARATOR);
   if (entry === undefined || requestId === undefined || rest.length > 0) return undefined;
   if (incarnation === undefined || !/^\d+$/.test(incarnation)) return undefined;
@@ -36,7 +36,7 @@
 }
 
 /** Where an attempt was sent, as a claim notes it. */
-export interface Holder {
+export interface ClaimHolder {
   /** Name of the agent's instance. */
   readonly agent: string;
   /** The target's incarnation. */
@@ -44,12 +44,12 @@
 }
 
 /** Writes a holder into a claim. */
-export function holderText({ agent, incarnation }: Holder): string {
+export function encodeHolder({ agent, incarnation }: ClaimHolder): string {
   return agent + SEPARATOR + incarnation;
 }
 
 /** Reads what `holderText` wrote. */
-export function holderOf(text: string): Holder {
+export function decodeHolder(text: string): ClaimHolder {
   const at = text.indexOf(SEPARATOR);
   if (at === -1) return { agent: text, incarnation: '' };
   return { agent: text.slice(0, at), incarnation: text.slice(at + 1) };
--- a/packages/entry/src/claim/claims.spec.ts
+++ b/packages/entry/src/claim/claims.spec.ts
@@ -13,29 +13,29 @@
   silence,
   sse,
 } from '../testing/gate.js';
-import type { Step } from '../testing/gate.js';
-import { FakeClaims, chat, modelDocument, startWorld, target, until } from '../testing/world.js';
-import type { World } from '../testing/world.js';
+import type { ScriptStep } from '../testing/gate.js';
+import { FakeClaims, chat, modelDocument, startTestEntry, target, waitUntil } from '../testing/world.js';
+import type { TestEntry } from '../testing/world.js';
 
 const { RUNNING, DONE } = controlMessage.ClaimState;
 
-const worlds: World[] = [];
+const worlds: TestEntry[] = [];
 const gates: FakeGate[] = [];
 const document = modelDocument({ nonIdempotent: [{ models: ['m'] }], claims: { answerBytes: 200 } });
 
-async function gate(): Promise<FakeGate> {
-  const made = new FakeGate();
-  await made.start();
-  gates.push(made);
-  return made;
+async function startGate(): Promise<FakeGate> {
+  const started = new FakeGate();
+  await started.start();
+  gates.push(started);
+  return started;
 }
 
-async function entry(targets: FakeGate[], claims: FakeClaims, name = 'entry-1'): Promise<World> {
+async function startEntry(targets: FakeGate[], claims: FakeClaims, name = 'entry-1'): Promise<TestEntry> {
   const instances = targets.map((one, index) => target(`agent-${index}`, one.address));
   const settings = { streamSilenceMs: 500, resumeWindowMs: 600 };
-  const made = await startWorld([document], instances, settings, name, claims);
-  worlds.push(made);
-  return made;
+  const started = await startTestEntry([document], instances, settings, name, claims);
+  worlds.push(started);
+  return started;
 }
 
 const keyed = { 'idempotency-key': 'k1' };
@@ -53,12 +53,12 @@
     // Symptom: a house is billed twice.
     // Sequence: the answer is lost on its way to the caller, who sends the request again elsewhere.
     // Cause: the second entry knows nothing of the first one's work.
-    const one = await gate();
+    const one = await startGate();
     const claims = new FakeClaims();
-    const [first, second] = [await entry([one], claims), await entry([one], claims, 'entry-2')];
+    const [first, second] = [await startEntry([one], claims), await startEntry([one], claims, 'entry-2')];
     one.script = () => whole;
     const answer = await (await chat(first.url, {}, keyed)).text();
-    await until(() => claims.claims.get('k1')?.answer !== undefined);
+    await waitUntil(() => claims.claims.get('k1')?.answer !== undefined);
     const again = await chat(second.url, {}, keyed);
     expect(again.headers.get('x-idempotent-replay')).toBe('true');
     expect(again.headers.get('content-type')).toBe('text/event-stream');
@@ -67,9 +67,9 @@
   });
 
   it('is not sent at all while claims are out of reach', async () => {
-    const one = await gate();
+    const one = await startGate();
     const claims = new FakeClaims();
-    const { url } = await entry([one], claims);
+    const { url } = await startEntry([one], claims);
     claims.unreachable = true;
     const answer = await chat(url, {}, keyed);
     expect(answer.headers.get('retry-after')).toBe('2');
@@ -78,16 +78,23 @@
   });
 
   it('is reported as running while it runs', async () => {
-    const one = await gate();
+    const one = await startGate();
     const claims = new FakeClaims();
-    const { url, directory } = await entry([one], claims);
+    const { url, directory } = await startEntry([one], claims);
     directory.set([
       target('agent-0', one.address),
       { ...target('entry-1', '127.0.0.1:1'), role: 'entry', incarnation: 7n, target: undefined },
     ]);
     let finish: (value: unknown) => void = () => undefined;
-    const go = new Promise((resolve) => (finish = resolve));
-    one.script = () => [accepted, sse, chunk(delta('a')), { case: 'wait', for: go }, chunk(doneEvent), end];
+    const proceed = new Promise((resolve) => (finish = resolve));
+    one.script = () => [
+      accepted,
+      sse,
+      chunk(delta('a')),
+      { case: 'wait', for: proceed },
+      chunk(doneEvent),
+      end,
+    ];
     const first = await chat(url, {}, keyed);
     const second = await chat(url, {}, keyed);
     expect(second.status).toBe(409);
@@ -99,8 +106,8 @@
   });
 
   it('is refused when its key comes with another body', async () => {
-    const one = await gate();
-    const { url } = await entry([one], new FakeClaims());
+    const one = await startGate();
+    const { url } = await startEntry([one], new FakeClaims());
     one.script = () => whole;
     await (await chat(url, {}, keyed)).text();
     const answer = await chat(url, { max_tokens: 3 }, keyed);
@@ -109,11 +116,11 @@
   });
 
   it('is not run again after a break, and its resend is told so', async () => {
-    const one = await gate();
-    const { url, claims } = await entry([one], new FakeClaims());
+    const one = await startGate();
+    const { url, claims } = await startEntry([one], new FakeClaims());
     one.script = () => [accepted, sse, chunk(delta('a')), cut];
     await (await chat(url, {}, keyed)).text();
-    await until(() => claims.claims.get('k1')?.state !== RUNNING);
+    await waitUntil(() => claims.claims.get('k1')?.state !== RUNNING);
     expect(await codeOf(await chat(url, {}, keyed))).toMatchObject({
       code: 'outcome-unknown',
       run: 'may-have-run',
@@ -122,8 +129,8 @@
   });
 
   it('gives its key back when it is proved that it has not run', async () => {
-    const [one, two] = [await gate(), await gate()];
-    const { url, claims } = await entry([one, two], new FakeClaims());
+    const [one, two] = [await startGate(), await startGate()];
+    const { url, claims } = await startEntry([one, two], new FakeClaims());
     let runs = 0;
     one.script = () => {
       runs += 1;
@@ -133,24 +140,27 @@
     expect(await (await chat(url, {}, keyed)).text()).toBe(delta('a') + doneEvent);
     const ids = [...one.runs, ...two.runs].map(({ attemptId }) => attemptId);
     expect(new Set(ids).size).toBe(2);
-    await until(() => claims.claims.get('k1')?.answer !== undefined);
+    await waitUntil(() => claims.claims.get('k1')?.answer !== undefined);
   });
 
   it('finishes although its caller hung up, so that the resend gets the answer', async () => {
     // Symptom: after a dropped call nobody can say whether the note was written.
     // Sequence: the caller's connection breaks in the middle of the answer; it sends again.
     // Cause: cancelling halfway leaves an outcome that nobody knows.
-    const one = await gate();
-    const { url, claims } = await entry([one], new FakeClaims());
+    const one = await startGate();
+    const { url, claims } = await startEntry([one], new FakeClaims());
     let finish: (value: unknown) => void = () => undefined;
-    const go = new Promise((resolve) => (finish = resolve));
-    const beat: Step = { case: 'heartbeat', value: {} };
-    const pauses = Array.from({ length: 10 }, (): Step[] => [{ case: 'pause', ms: 20 }, beat]).flat();
+    const proceed = new Promise((resolve) => (finish = resolve));
+    const heartbeat: ScriptStep = { case: 'heartbeat', value: {} };
+    const pauses = Array.from({ length: 10 }, (): ScriptStep[] => [
+      { case: 'pause', ms: 20 },
+      heartbeat,
+    ]).flat();
     one.script = () => [
       accepted,
       sse,
       chunk(delta('a')),
-      { case: 'wait', for: go },
+      { case: 'wait', for: proceed },
       ...pauses,
       chunk(doneEvent),
       end,
@@ -160,18 +170,18 @@
     await answer.body?.getReader().read();
     hangUp.abort();
     finish(undefined);
-    await until(() => claims.claims.get('k1')?.answer !== undefined);
+    await waitUntil(() => claims.claims.get('k1')?.answer !== undefined);
     expect(await (await chat(url, {}, keyed)).text()).toBe(delta('a') + doneEvent);
     expect(one.cancels).toHaveLength(0);
     expect(one.runs).toHaveLength(1);
   });
 
   it('says that an answer too large to keep has been given', async () => {
-    const one = await gate();
-    const { url, claims } = await entry([one], new FakeClaims());
+    const one = await startGate();
+    const { url, claims } = await startEntry([one], new FakeClaims());
     one.script = () => [accepted, head(200, 'application/json'), chunk(`"${'x'.repeat(300)}"`), end];
     await (await chat(url, { stream: false }, keyed)).text();
-    await until(() => claims.claims.get('k1')?.state === DONE);
+    await waitUntil(() => claims.claims.get('k1')?.state === DONE);
     const again = await chat(url, { stream: false }, keyed);
     expect(await codeOf(again)).toMatchObject({ code: 'answer-not-kept', run: 'ran' });
   });
@@ -181,9 +191,9 @@
   // Symptom: a call is refused as running although nobody runs it.
   // Sequence: the claim is held, its answer is lost, and the claim is sent again to another instance.
   // Cause: the resend finds the key taken by its own attempt.
-  const one = await gate();
+  const one = await startGate();
   const claims = new FakeClaims();
-  const { url } = await entry([one], claims);
+  const { url } = await startEntry([one], claims);
   const first = claims.claim.bind(claims);
   claims.claim = async (request) => {
     await first(request);
@@ -194,10 +204,10 @@
 });
 
 describe('a claim of an entry that is gone', () => {
-  const held = async (claims: FakeClaims, url: string): Promise<void> => {
+  const abandonClaim = async (claims: FakeClaims, url: string): Promise<void> => {
     // A first call lays the claim down with the fingerprint of this request, then the entry is gone.
     await (await chat(url, {}, keyed)).text();
-    await until(() => claims.claims.get('k1')?.state !== RUNNING);
+    await waitUntil(() => claims.claims.get('k1')?.state !== RUNNING);
     const claim = claims.claims.get('k1');
     if (claim !== undefined) Object.assign(claim, { state: RUNNING, answer: undefined });
   };
@@ -206,29 +216,29 @@
     // Symptom: after a crash of the entry a caller is told "running" for as long as the window lasts.
     // Sequence: the entry is killed while it passes on an answer; the caller sends again at another one.
     // Cause: only the killed entry would have settled the claim.
-    const one = await gate();
+    const one = await startGate();
     const claims = new FakeClaims();
-    const { url } = await entry([one], claims);
+    const { url } = await startEntry([one], claims);
     one.script = () => whole;
-    await held(claims, url);
-    const next = await entry([one], claims, 'entry-2');
+    await abandonClaim(claims, url);
+    const secondEntry = await startEntry([one], claims, 'entry-2');
     one.resumeScript = () => whole;
-    const text = await (await chat(next.url, {}, keyed)).text();
+    const text = await (await chat(secondEntry.url, {}, keyed)).text();
     expect(text).toBe(delta('a') + doneEvent);
     expect(one.resumes[0]).toMatchObject({ fromOrdinal: 0n, attemptId: one.runs[0]?.attemptId });
     expect(one.runs).toHaveLength(1);
-    await until(() => claims.claims.get('k1')?.answer !== undefined);
+    await waitUntil(() => claims.claims.get('k1')?.answer !== undefined);
   });
 
   it('is taken over when the gate proves that nothing ran', async () => {
-    const one = await gate();
+    const one = await startGate();
     const claims = new FakeClaims();
-    const { url } = await entry([one], claims);
+    const { url } = await startEntry([one], claims);
     one.script = () => whole;
-    await held(claims, url);
-    const next = await entry([one], claims, 'entry-2');
+    await abandonClaim(claims, url);
+    const secondEntry = await startEntry([one], claims, 'entry-2');
     one.cancelAnswer = gateMessage.Ran.NOT_RUN;
-    expect(await (await chat(next.url, {}, keyed)).text()).toBe(delta('a') + doneEvent);
+    expect(await (await chat(secondEntry.url, {}, keyed)).text()).toBe(delta('a') + doneEvent);
     expect(one.cancels[0]).toMatchObject({ incarnation: 'e1', attemptId: one.runs[0]?.attemptId });
     expect(one.runs).toHaveLength(2);
   });
@@ -237,27 +247,27 @@
     // Symptom: a resend ends the very work that it asks for.
     // Sequence: the entry is gone, and the agent is slow to answer the entry that takes over.
     // Cause: a cancellation that should only prove that nothing ran stops what runs.
-    const one = await gate();
+    const one = await startGate();
     const claims = new FakeClaims();
-    const { url } = await entry([one], claims);
+    const { url } = await startEntry([one], claims);
     one.script = () => whole;
-    await held(claims, url);
-    const next = await entry([one], claims, 'entry-2');
+    await abandonClaim(claims, url);
+    const secondEntry = await startEntry([one], claims, 'entry-2');
     one.resumeScript = () => [silence];
-    expect(await codeOf(await chat(next.url, {}, keyed))).toMatchObject({ code: 'already-running' });
+    expect(await codeOf(await chat(secondEntry.url, {}, keyed))).toMatchObject({ code: 'already-running' });
     expect(one.cancels).toHaveLength(0);
     expect(claims.claims.get('k1')?.state).toBe(RUNNING);
   });
 
   it('stays unknown when the gate can not prove it', async () => {
-    const one = await gate();
+    const one = await startGate();
     const claims = new FakeClaims();
-    const { url } = await entry([one], claims);
+    const { url } = await startEntry([one], claims);
     one.script = () => whole;
-    await held(claims, url);
-    const next = await entry([one], claims, 'entry-2');
+    await abandonClaim(claims, url);
+    const secondEntry = await startEntry([one], claims, 'entry-2');
     one.cancelAnswer = gateMessage.Ran.MAY_HAVE_RUN;
-    expect(await codeOf(await chat(next.url, {}, keyed))).toMatchObject({ code: 'outcome-unknown' });
+    expect(await codeOf(await chat(secondEntry.url, {}, keyed))).toMatchObject({ code: 'outcome-unknown' });
     expect(one.runs).toHaveLength(1);
   });
 });
--- a/packages/entry/src/claim/claims.ts
+++ b/packages/entry/src/claim/claims.ts
@@ -8,8 +8,8 @@
 import type { KeptAnswer } from '../answer/index.js';
 import type { Call } from '../call/index.js';
 import { entryMetrics } from '../metrics.js';
-import { holderOf, holderText, originOf } from './attemptId.js';
-import type { Holder } from './attemptId.js';
+import { decodeHolder, encodeHolder, parseAttemptId } from './attemptId.js';
+import type { ClaimHolder } from './attemptId.js';
 import { Settler } from './settler.js';
 
 /** What is sent to take a claim. */
@@ -26,35 +26,35 @@
 }
 
 /** An attempt whose entry is gone. */
-export interface Orphan {
+export interface OrphanedAttempt {
   readonly attemptId: string;
   readonly requestId: string;
   /** Agent and target's incarnation that the attempt was sent to. */
-  readonly holder: Holder;
+  readonly holder: ClaimHolder;
 }
 
 /** What became of asking for a key. */
-export type Verdict =
+export type ClaimResult =
   | { readonly type: 'granted' }
   /** The first attempt's answer. */
   | { readonly type: 'replay'; readonly answer: KeptAnswer }
   /** The entry that holds the key is gone; the agent may know how the attempt went. */
-  | ({ readonly type: 'orphan' } & Orphan)
+  | ({ readonly type: 'orphan' } & OrphanedAttempt)
   | { readonly type: 'refused'; readonly fault: Fault };
 
 /** How a claimed attempt went. */
-export type Settled =
+export type AttemptSettlement =
   | { readonly type: 'released' }
   | { readonly type: 'unknown' }
   | { readonly type: 'done'; readonly answer: KeptAnswer | undefined };
 
-const settlements: Record<Settled['type'], controlMessage.Settlement> = {
+const settlementCodes: Record<AttemptSettlement['type'], controlMessage.Settlement> = {
   released: controlMessage.Settlement.RELEASED,
   unknown: controlMessage.Settlement.UNKNOWN,
   done: controlMessage.Settlement.DONE,
 };
 
-const refused = (reason: Fault): Verdict => ({ type: 'refused', fault: reason });
+const refused = (reason: Fault): ClaimResult => ({ type: 'refused', fault: reason });
 
 /** What a call's claim works with. */
 export interface ClaimContext {
@@ -80,7 +80,7 @@
   }
 
   /** Asks for the call's key. */
-  async take(call: Call, attemptId: string, holder: Holder): Promise<Verdict> {
+  async acquire(call: Call, attemptId: string, holder: ClaimHolder): Promise<ClaimResult> {
     const { store, clock, metrics, timeoutMs } = this.context;
     const began = clock.monotonic();
     const answer = await store.claim(
@@ -91,12 +91,12 @@
         attemptId,
         fingerprint: fingerprintOf(call),
         windowMs: BigInt(call.service.claims.window),
-        agent: holderText(holder),
+        agent: encodeHolder(holder),
       },
       Math.min(timeoutMs, call.deadlineMs),
     );
     metrics.timing(entryMetrics.claims, clock.monotonic() - began);
-    if (answer.isOk()) return this.verdict(answer.value, attemptId);
+    if (answer.isOk()) return this.resultOf(answer.value, attemptId);
     // The claim may be held although its answer was lost: without this the key would stay taken for nothing.
     if (answer.error.ran !== 'not-run') void this.settle(call, attemptId, { type: 'released' });
     const { message, retryAfterMs } = answer.error;
@@ -104,15 +104,15 @@
   }
 
   /** Records how an attempt went, however long that takes. Resolves when recorded or given up. */
-  settle(call: Call, attemptId: string, settled: Settled): Promise<void> {
+  settle(call: Call, attemptId: string, settlement: AttemptSettlement): Promise<void> {
     const { store, timeoutMs } = this.context;
     const message: SettleMessage = {
       service: call.service.service,
       customer: call.customer,
       key: call.claimKey,
       attemptId,
-      settlement: settlements[settled.type],
-      answer: settled.type === 'done' ? settled.answer : undefined,
+      settlement: settlementCodes[settlement.type],
+      answer: settlement.type === 'done' ? settlement.answer : undefined,
     };
     return this.settler.settle({ attemptId, send: () => store.settle(message, timeoutMs) });
   }
@@ -122,14 +122,14 @@
     return this.settler.idle(ms);
   }
 
-  private verdict(answer: controlMessage.ClaimResponse, attemptId: string): Verdict {
+  private resultOf(answer: controlMessage.ClaimResponse, attemptId: string): ClaimResult {
     switch (answer.state) {
       case controlMessage.ClaimState.GRANTED:
         return { type: 'granted' };
       case controlMessage.ClaimState.RUNNING:
-        return this.running(answer, attemptId);
+        return this.resultOfRunning(answer, attemptId);
       case controlMessage.ClaimState.DONE:
-        return this.done(answer);
+        return this.resultOfDone(answer);
       case controlMessage.ClaimState.MISMATCH:
         return refused(fault('key-reused', 'the key was used for another request; this one has not run'));
       case controlMessage.ClaimState.UNKNOWN:
@@ -140,22 +140,25 @@
     }
   }
 
-  private done({ answer }: controlMessage.ClaimResponse): Verdict {
+  private resultOfDone({ answer }: controlMessage.ClaimResponse): ClaimResult {
     if (answer !== undefined) return { type: 'replay', answer };
     return refused(fault('answer-not-kept', 'the first request with this key ran; its answer was not kept'));
   }
 
-  private running({ attemptId, agent }: controlMessage.ClaimResponse, own: string): Verdict {
-    if (attemptId === own) return { type: 'granted' };
-    const origin = originOf(attemptId);
-    if (origin === undefined || this.alive(origin.entry, origin.incarnation)) {
+  private resultOfRunning(
+    { attemptId, agent }: controlMessage.ClaimResponse,
+    ownAttemptId: string,
+  ): ClaimResult {
+    if (attemptId === ownAttemptId) return { type: 'granted' };
+    const origin = parseAttemptId(attemptId);
+    if (origin === undefined || this.mayBeRunning(origin.entry, origin.incarnation)) {
       return refused(fault('already-running', 'the first request with this key is still running'));
     }
-    return { type: 'orphan', attemptId, requestId: origin.requestId, holder: holderOf(agent) };
+    return { type: 'orphan', attemptId, requestId: origin.requestId, holder: decodeHolder(agent) };
   }
 
   /** Whether the process that holds a claim may still be at work. Only a newer start of it, or its end, says no. */
-  private alive(entry: string, incarnation: bigint): boolean {
+  private mayBeRunning(entry: string, incarnation: bigint): boolean {
     const instance = this.context.view().instances.get(entry);
     if (instance === undefined) return false;
     return instance.incarnation === incarnation && instance.health !== 'down';
--- a/packages/entry/src/claim/settler.spec.ts
+++ b/packages/entry/src/claim/settler.spec.ts
@@ -3,7 +3,7 @@
 import { ManualClock, fault, silentLog } from '@jasmineroute/core';
 import { Settler } from './settler.js';
 
-const away = () =>
+const unreachable = () =>
   Promise.resolve(err(fault('claims-unavailable', 'no claim', { cause: new Error('silent') })));
 
 describe('outcomes of claimed calls', () => {
@@ -19,7 +19,7 @@
       attemptId: 'a',
       send: () => {
         sent += 1;
-        return reachable ? Promise.resolve(ok(undefined)) : away();
+        return reachable ? Promise.resolve(ok(undefined)) : unreachable();
       },
     });
     await clock.advance(60_000);
@@ -42,7 +42,7 @@
         attemptId: String(index),
         send: () => {
           sent += 1;
-          return away();
+          return unreachable();
         },
       });
     }
@@ -62,7 +62,7 @@
   it('hold a planned stop up for a stated time at most', async () => {
     const clock = new ManualClock();
     const settler = new Settler(clock, silentLog);
-    void settler.settle({ attemptId: 'a', send: away });
+    void settler.settle({ attemptId: 'a', send: unreachable });
     const idle = settler.idle(5_000);
     await clock.advance(5_000);
     await idle;
--- a/packages/entry/src/claim/settler.ts
+++ b/packages/entry/src/claim/settler.ts
@@ -4,25 +4,25 @@
 import { entryEvents } from '../events.js';
 
 /** One outcome to record. */
-export interface Settling {
+export interface PendingSettlement {
   readonly attemptId: string;
   /** Sends it once. */
   readonly send: () => Promise<Result<unknown, Fault>>;
 }
 
-interface Pending extends Settling {
-  readonly over: () => void;
+interface QueuedSettlement extends PendingSettlement {
+  readonly onFinished: () => void;
 }
 
 /** Outcomes sent at once. */
-const WORKERS = 16;
+const MAX_WORKERS = 16;
 /** Outcomes that wait; past it the oldest is given up. */
-const MOST_WAITING = 20_000;
-const LEAST_PAUSE_MS = 250;
-const MOST_PAUSE_MS = 5_000;
+const MAX_QUEUED = 20_000;
+const MIN_BACKOFF_MS = 250;
+const MAX_BACKOFF_MS = 5_000;
 
 /** Whether nothing more is to be sent: a fault without a cause is what the control instances answered themselves. */
-function isOver(result: Result<unknown, Fault>): boolean {
+function isFinal(result: Result<unknown, Fault>): boolean {
   return result.isOk() || result.error.cause === undefined;
 }
 
@@ -33,9 +33,9 @@
  * leaves its key taken, and the caller's resends are refused as running until the window ends.
  */
 export class Settler {
-  private readonly waiting: Pending[] = [];
+  private readonly queue: QueuedSettlement[] = [];
   private workers = 0;
-  private open = 0;
+  private unrecorded = 0;
   private readonly idleWaiters = new Set<() => void>();
 
   constructor(
@@ -45,60 +45,60 @@
 
   /** Outcomes that are not recorded yet. */
   get size(): number {
-    return this.open;
+    return this.unrecorded;
   }
 
   /** Takes an outcome over. Resolves when it is recorded or given up. */
-  settle(settling: Settling): Promise<void> {
-    this.open += 1;
+  settle(settlement: PendingSettlement): Promise<void> {
+    this.unrecorded += 1;
     return new Promise((resolve) => {
-      this.waiting.push({ ...settling, over: resolve });
-      const dropped = this.waiting.length > MOST_WAITING ? this.waiting.shift() : undefined;
+      this.queue.push({ ...settlement, onFinished: resolve });
+      const dropped = this.queue.length > MAX_QUEUED ? this.queue.shift() : undefined;
       if (dropped !== undefined) this.giveUp(dropped);
-      if (this.workers < WORKERS) void this.work();
+      if (this.workers < MAX_WORKERS) void this.runWorker();
     });
   }
 
   /** Resolves when all outcomes are recorded, or after `ms`. */
   async idle(ms: number): Promise<void> {
-    if (this.open === 0) return;
+    if (this.unrecorded === 0) return;
     let wake: () => void = () => undefined;
     const empty = new Promise<void>((resolve) => {
       wake = resolve;
     });
     this.idleWaiters.add(wake);
-    const calledOff = this.clock.after(ms, wake);
+    const cancelTimer = this.clock.after(ms, wake);
     await empty;
-    calledOff();
+    cancelTimer();
     this.idleWaiters.delete(wake);
-    for (const { attemptId } of this.waiting) this.log.event(entryEvents.claimUnsettled, { attemptId });
+    for (const { attemptId } of this.queue) this.log.event(entryEvents.claimUnsettled, { attemptId });
   }
 
-  private async work(): Promise<void> {
+  private async runWorker(): Promise<void> {
     this.workers += 1;
-    let pause = LEAST_PAUSE_MS;
-    for (let next = this.waiting.shift(); next !== undefined; next = this.waiting.shift()) {
-      if (isOver(await next.send())) {
+    let pause = MIN_BACKOFF_MS;
+    for (let next = this.queue.shift(); next !== undefined; next = this.queue.shift()) {
+      if (isFinal(await next.send())) {
         this.finish(next);
-        pause = LEAST_PAUSE_MS;
+        pause = MIN_BACKOFF_MS;
         continue;
       }
-      this.waiting.push(next);
+      this.queue.push(next);
       await this.clock.sleep(pause);
-      pause = Math.min(MOST_PAUSE_MS, pause * 2);
+      pause = Math.min(MAX_BACKOFF_MS, pause * 2);
     }
     this.workers -= 1;
   }
 
-  private giveUp(dropped: Pending): void {
+  private giveUp(dropped: QueuedSettlement): void {
     this.log.event(entryEvents.claimUnsettled, { attemptId: dropped.attemptId });
     this.finish(dropped);
   }
 
-  private finish(pending: Pending): void {
-    this.open -= 1;
-    pending.over();
-    if (this.open > 0) return;
+  private finish(pending: QueuedSettlement): void {
+    this.unrecorded -= 1;
+    pending.onFinished();
+    if (this.unrecorded > 0) return;
     for (const wake of this.idleWaiters) wake();
   }
 }
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -12,11 +12,11 @@
 import type { ClaimStore } from './claim/index.js';
 import { entryEvents } from './events.js';
 import { GateClients } from './gate/index.js';
-import { CallerServer, Callers, createApp, listenerOf } from './http/index.js';
+import { CallerServer, RequestHandler, createApp, listenerOf } from './http/index.js';
 import { entryMetrics } from './metrics.js';
 import type { EntrySettings } from './setting/index.js';
-import { Admissions, Background, Decisions } from './work/index.js';
-import type { WorkContext } from './work/index.js';
+import { Admissions, BackgroundTasks, Decisions } from './work/index.js';
+import type { EntryContext } from './work/index.js';
 
 /** An entry in a process. */
 export interface EntryProcess extends RoleProcess {
@@ -32,7 +32,7 @@
 }
 
 /** What an entry gets its knowledge and its claims from; tests give their own. */
-export interface EntryParts {
+export interface EntryDependencies {
   readonly directory: EntryDirectory;
   readonly claims: ClaimStore;
 }
@@ -42,21 +42,21 @@
 const RETRY_BURST = 512;
 const GAUGE_INTERVAL_MS = 5_000;
 /** How long a planned stop waits for outcomes of claimed calls to be recorded, milliseconds. */
-const LAST_OUTCOMES_MS = 10_000;
+const SETTLE_TIMEOUT_MS = 10_000;
 /** How long a planned stop waits for new connections to cease, milliseconds. */
-const LAST_CONNECTIONS_MS = 5_000;
+const ACCEPT_WAIT_MS = 5_000;
 
 /** Makes the entry role. */
 export async function createEntry(
   context: RoleContext,
   settings: EntrySettings,
-  parts: EntryParts = partsOf(context),
+  parts: EntryDependencies = defaultDependencies(context),
 ): Promise<Result<EntryProcess, Fault>> {
   await loadHasher();
   return ok(new Entry(context, settings, parts));
 }
 
-function partsOf(context: RoleContext): EntryParts {
+function defaultDependencies(context: RoleContext): EntryDependencies {
   const { name, incarnation, controls, peers, clock, log, metrics, dataFolder, dataCentre } = context;
   const directory = new DirectoryClient({
     name,
@@ -83,8 +83,8 @@
 }
 
 class Entry implements EntryProcess {
-  private readonly work: WorkContext;
-  private readonly callers: Callers;
+  private readonly work: EntryContext;
+  private readonly callers: RequestHandler;
   private readonly server: CallerServer;
   private readonly stopped = new AbortController();
   private address = '';
@@ -95,10 +95,10 @@
   constructor(
     private readonly context: RoleContext,
     private readonly settings: EntrySettings,
-    private readonly parts: EntryParts,
+    private readonly parts: EntryDependencies,
   ) {
-    this.work = this.createWork();
-    this.callers = new Callers(this.work);
+    this.work = this.createContext();
+    this.callers = new RequestHandler(this.work);
     const app = createApp({
       readiness: () => this.readiness(),
       models: (bindings) => this.callers.models(bindings),
@@ -139,12 +139,12 @@
     this.draining = true;
     this.server.turnAway();
     this.leaving.abort(new Error('stopping'));
-    log.event(entryEvents.draining, { open: this.callers.count });
+    log.event(entryEvents.draining, { open: this.callers.openRequests });
     await clock.sleep(this.settings.drainDelayMs);
     await this.parts.directory.leave();
-    await this.server.drain(LAST_CONNECTIONS_MS);
+    await this.server.drain(ACCEPT_WAIT_MS);
     await this.work.background.idle();
-    await this.work.claims.idle(LAST_OUTCOMES_MS);
+    await this.work.claims.idle(SETTLE_TIMEOUT_MS);
     log.event(entryEvents.drained);
   }
 
@@ -154,7 +154,7 @@
     await this.parts.directory.stop();
   }
 
-  private createWork(): WorkContext {
+  private createContext(): EntryContext {
     const { name, incarnation, dataCentre, peers, clock, stalls, log, metrics } = this.context;
     const { settings } = this;
     const view = () => this.parts.directory.view();
@@ -169,7 +169,7 @@
       admissions: new Admissions(view, clock),
       budget: new RetryBudget({ share: RETRY_SHARE, burst: RETRY_BURST }),
       attemptIds: new AttemptIds(name, incarnation),
-      background: new Background(),
+      background: new BackgroundTasks(),
       view,
       clock,
       stalls,
@@ -181,7 +181,7 @@
   private async reportGauges(): Promise<void> {
     const { clock, metrics } = this.context;
     while (!this.stopped.signal.aborted) {
-      metrics.gauge(entryMetrics.open, this.callers.count);
+      metrics.gauge(entryMetrics.open, this.callers.openRequests);
       metrics.gauge(entryMetrics.connections, this.server.connections);
       metrics.gauge(entryMetrics.bufferedBytes, this.callers.bufferedBytes);
       try {
--- a/packages/entry/src/gate/attempt.ts
+++ b/packages/entry/src/gate/attempt.ts
@@ -7,9 +7,9 @@
 import { entryEvents } from '../events.js';
 import { entryMetrics } from '../metrics.js';
 import { cannotResume, neverSent } from './client.js';
-import type { AttemptName, GateClients } from './client.js';
+import type { AttemptRef, GateClients } from './client.js';
 import { failureFault, isBreak, refusalFault } from './outcome.js';
-import type { AttemptOutcome, Break } from './outcome.js';
+import type { AttemptOutcome, StreamBreak } from './outcome.js';
 import { Watchdog } from './watchdog.js';
 
 /** Where an attempt's answer goes. Resolves when more can be taken. */
@@ -17,7 +17,7 @@
   head(status: number, headers: readonly HeaderField[]): Promise<void> | void;
   chunk(bytes: Uint8Array): Promise<void> | void;
   /** The stream lives but has nothing to say. */
-  quiet(): void;
+  onHeartbeat(): void;
 }
 
 /** Bounds of an attempt, milliseconds. */
@@ -44,7 +44,7 @@
 type StreamOpener = (signal: AbortSignal) => AsyncIterable<gateMessage.RunEvent>;
 
 /** The gate may have the attempt and does not answer now: cancelling would end work that can still be asked for. */
-const stillThere: AttemptOutcome = {
+const agentUnresponsive: AttemptOutcome = {
   type: 'failed',
   fault: fault('already-running', 'the agent that has the first request does not answer now'),
 };
@@ -52,76 +52,76 @@
 /** Runs one attempt. Made for one use. */
 export class Attempt {
   /** Ordinal of the event that comes next. */
-  private next = 0n;
+  private nextOrdinal = 0n;
   private watchdog: Watchdog | undefined;
   /** Another process started it. */
-  private attached = false;
+  private isAttached = false;
 
   constructor(
     private readonly context: AttemptContext,
     private readonly address: string,
-    private readonly request: AttemptName,
+    private readonly request: AttemptRef,
     private readonly sink: AttemptSink,
     private readonly signal: AbortSignal,
   ) {}
 
   /** Whether the gate took the attempt. */
   get accepted(): boolean {
-    return this.next > 0n;
+    return this.nextOrdinal > 0n;
   }
 
   /** Sends the request and follows its events to the end. */
   async run(message: gateMessage.RunRequest): Promise<AttemptOutcome> {
     const connection = this.context.clients.connection(this.address);
-    const result = await this.follow(connection, (signal) =>
-      this.context.clients.over(connection).run(message, { signal }),
+    const result = await this.followStream(connection, (signal) =>
+      this.context.clients.client(connection).run(message, { signal }),
     );
     if (!isBreak(result)) return result;
     if (this.stopped()) return { type: 'stopped' };
     if (!this.accepted && neverSent(result.error)) {
       return { type: 'refused', fault: fault('target-unreachable', 'the target could not be reached') };
     }
-    return this.mend(result);
+    return this.resumeStream(result);
   }
 
   /** Follows the events of an attempt that another process started, from the first one. */
   async attach(): Promise<AttemptOutcome> {
-    this.attached = true;
-    return this.mend({ type: 'break', reason: 'lost' });
+    this.isAttached = true;
+    return this.resumeStream({ type: 'break', reason: 'lost' });
   }
 
-  private async mend(first: Break): Promise<AttemptOutcome> {
+  private async resumeStream(first: StreamBreak): Promise<AttemptOutcome> {
     const { clock, clients, bounds, metrics, log, repeatable } = this.context;
-    let broken = first;
+    let lastBreak = first;
     // What the gate has not even accepted is better sent elsewhere than waited for.
-    const patience = repeatable && !this.accepted ? 0 : bounds.resumeWindowMs;
-    let until = clock.monotonic() + patience;
+    const initialWindowMs = repeatable && !this.accepted ? 0 : bounds.resumeWindowMs;
+    let resumeUntil = clock.monotonic() + initialWindowMs;
     while (!this.stopped()) {
-      const from = this.next;
+      const from = this.nextOrdinal;
       const connection = clients.connection(this.address);
-      const result = await this.follow(connection, (signal) =>
-        clients.over(connection).resume({ ...this.ids(), fromOrdinal: from }, { signal }),
+      const result = await this.followStream(connection, (signal) =>
+        clients.client(connection).resume({ ...this.ids(), fromOrdinal: from }, { signal }),
       );
-      if (this.next > from) {
+      if (this.nextOrdinal > from) {
         metrics.count(entryMetrics.resumes);
         log.event(entryEvents.streamResumed, { ...this.ids(), from: Number(from) });
-        until = clock.monotonic() + bounds.resumeWindowMs;
+        resumeUntil = clock.monotonic() + bounds.resumeWindowMs;
       }
       if (!isBreak(result)) return result;
-      broken = result;
+      lastBreak = result;
       if (cannotResume(result.error) || neverSent(result.error)) break;
-      if (clock.monotonic() >= until) break;
-      await this.pause();
+      if (clock.monotonic() >= resumeUntil) break;
+      await this.waitBeforeResume();
     }
     if (this.stopped()) return { type: 'stopped' };
-    return this.lost(broken);
+    return this.lostOutcome(lastBreak);
   }
 
   /** The gate is gone or can't go on: asks what is proved, where a true "not run" hangs on it. */
-  private async lost(broken: Break): Promise<AttemptOutcome> {
-    this.context.log.event(entryEvents.streamLost, { ...this.ids(), reason: broken.reason });
-    if (this.attached && !cannotResume(broken.error)) return stillThere;
-    const ran = await this.proof();
+  private async lostOutcome(lastBreak: StreamBreak): Promise<AttemptOutcome> {
+    this.context.log.event(entryEvents.streamLost, { ...this.ids(), reason: lastBreak.reason });
+    if (this.isAttached && !cannotResume(lastBreak.error)) return agentUnresponsive;
+    const ran = await this.provenRunState();
     return { type: 'failed', fault: fault('target-lost', 'the target was lost', { ran }) };
   }
 
@@ -129,14 +129,14 @@
    * What is proved of a lost attempt. One that may be repeated goes on elsewhere without waiting; its work here
    * is cancelled. One that may not and was accepted is left to run: its end can still be asked for.
    */
-  private async proof(): Promise<Ran> {
+  private async provenRunState(): Promise<Ran> {
     const { clients, repeatable } = this.context;
     if (this.accepted && !repeatable) return 'may-have-run';
     const cancelled = clients.cancel(this.address, this.request);
     return repeatable ? 'may-have-run' : cancelled;
   }
 
-  private async pause(): Promise<void> {
+  private async waitBeforeResume(): Promise<void> {
     try {
       await this.context.clock.sleep(RESUME_PAUSE_MS, this.signal);
     } catch {
@@ -145,22 +145,25 @@
   }
 
   /** Follows one stream until its last event or a break, and cuts it when it goes silent. */
-  private async follow(connection: Transport, open: StreamOpener): Promise<AttemptOutcome | Break> {
+  private async followStream(
+    connection: Transport,
+    open: StreamOpener,
+  ): Promise<AttemptOutcome | StreamBreak> {
     const { clock, bounds } = this.context;
-    const cut = new AbortController();
+    const controller = new AbortController();
     const stop = (): void => {
-      cut.abort();
+      controller.abort();
     };
-    let reason: Break['reason'] = 'lost';
+    let reason: StreamBreak['reason'] = 'lost';
     const watchdog = new Watchdog(clock, bounds.streamSilenceMs, () => {
       reason = 'silent';
-      this.dropSilent(connection);
-      cut.abort();
+      this.dropSilentConnection(connection);
+      controller.abort();
     });
     this.signal.addEventListener('abort', stop, { once: true });
     this.watchdog = watchdog;
     try {
-      const result = await this.read(open(cut.signal)[Symbol.asyncIterator](), cut);
+      const result = await this.readEvents(open(controller.signal)[Symbol.asyncIterator](), controller);
       if (isBreak(result) && result.reason === 'crossed') this.context.clients.drop(this.address, connection);
       return result;
     } catch (error) {
@@ -171,23 +174,23 @@
     }
   }
 
-  private async read(
+  private async readEvents(
     events: AsyncIterator<gateMessage.RunEvent>,
-    cut: AbortController,
-  ): Promise<AttemptOutcome | Break> {
+    controller: AbortController,
+  ): Promise<AttemptOutcome | StreamBreak> {
     for (;;) {
       const step = await events.next();
       if (step.done === true) return { type: 'break', reason: 'lost' };
-      this.watchdog?.heard();
-      const result = await this.take(step.value);
+      this.watchdog?.reset();
+      const result = await this.handleEvent(step.value);
       if (result === undefined) continue;
-      if (isBreak(result)) cut.abort();
-      else void this.finish(events, cut);
+      if (isBreak(result)) controller.abort();
+      else void this.readToEnd(events, controller);
       return result;
     }
   }
 
-  private dropSilent(connection: Transport): void {
+  private dropSilentConnection(connection: Transport): void {
     const { clients, metrics, log } = this.context;
     if (!clients.drop(this.address, connection)) return;
     metrics.count(entryMetrics.silences);
@@ -198,45 +201,52 @@
    * Reads a stream past its last event to its end. Cutting it instead would send a reset for each request,
    * and the other side closes connections with many resets as an attack.
    */
-  private async finish(events: AsyncIterator<gateMessage.RunEvent>, cut: AbortController): Promise<void> {
-    const calledOff = this.context.clock.after(this.context.bounds.streamSilenceMs, () => {
-      cut.abort();
+  private async readToEnd(
+    events: AsyncIterator<gateMessage.RunEvent>,
+    controller: AbortController,
+  ): Promise<void> {
+    const cancelTimer = this.context.clock.after(this.context.bounds.streamSilenceMs, () => {
+      controller.abort();
     });
     try {
       while ((await events.next()).done !== true);
     } catch {
       // The last event has come: how its stream closes is of no interest.
     } finally {
-      calledOff();
+      cancelTimer();
     }
   }
 
   /** Checks one event and passes it on. Returns a result when reading is over. */
-  private async take(message: gateMessage.RunEvent): Promise<AttemptOutcome | Break | undefined> {
-    if (message.requestId !== this.request.requestId) return this.crossed(message.requestId);
+  private async handleEvent(
+    message: gateMessage.RunEvent,
+  ): Promise<AttemptOutcome | StreamBreak | undefined> {
+    if (message.requestId !== this.request.requestId) return this.reportMismatch(message.requestId);
     // A gap means that an event was lost on the way: what follows must not be passed on before it.
-    if (message.ordinal > this.next) return { type: 'break', reason: 'gap' };
+    if (message.ordinal > this.nextOrdinal) return { type: 'break', reason: 'gap' };
     const { event } = message;
     if (event.case === 'heartbeat') {
-      this.sink.quiet();
+      this.sink.onHeartbeat();
       return undefined;
     }
     // Sent again after a resume: the caller has it.
-    if (message.ordinal < this.next) return undefined;
-    this.next += 1n;
+    if (message.ordinal < this.nextOrdinal) return undefined;
+    this.nextOrdinal += 1n;
     if (event.case === 'chunk') {
-      const taken = this.sink.chunk(event.value);
-      if (taken !== undefined) await this.wait(taken);
+      const ready = this.sink.chunk(event.value);
+      if (ready !== undefined) await this.waitForSink(ready);
       return undefined;
     }
-    return this.takeRare(event);
+    return this.handleOtherEvent(event);
   }
 
-  private async takeRare(event: gateMessage.RunEvent['event']): Promise<AttemptOutcome | Break | undefined> {
+  private async handleOtherEvent(
+    event: gateMessage.RunEvent['event'],
+  ): Promise<AttemptOutcome | StreamBreak | undefined> {
     switch (event.case) {
       case 'head': {
-        const taken = this.sink.head(event.value.status, event.value.headers);
-        if (taken !== undefined) await this.wait(taken);
+        const ready = this.sink.head(event.value.status, event.value.headers);
+        if (ready !== undefined) await this.waitForSink(ready);
         return undefined;
       }
       case 'end':
@@ -250,9 +260,9 @@
     }
   }
 
-  private async wait(taken: Promise<void>): Promise<void> {
+  private async waitForSink(ready: Promise<void>): Promise<void> {
     this.watchdog?.pause();
-    await taken;
+    await ready;
     this.watchdog?.resume();
   }
 
@@ -260,7 +270,7 @@
     return this.signal.aborted;
   }
 
-  private crossed(other: string): Break {
+  private reportMismatch(other: string): StreamBreak {
     this.context.log.event(entryEvents.answerMismatch, { ...this.ids(), other });
     return { type: 'break', reason: 'crossed' };
   }
--- a/packages/entry/src/gate/client.ts
+++ b/packages/entry/src/gate/client.ts
@@ -9,7 +9,7 @@
 export type GateRpc = Client<typeof gateMessage.Gate>;
 
 /** What a gate knows an attempt by. */
-export interface AttemptName {
+export interface AttemptRef {
   readonly requestId: string;
   readonly attemptId: string;
   /** The target's incarnation that the attempt was meant for: a later one can't prove that it never ran. */
@@ -20,7 +20,7 @@
 export type GatePeers = Pick<Peers, 'transport' | 'drop'>;
 
 /** How often a cancellation is sent when its answer does not come. */
-const CANCEL_TRIES = 2;
+const MAX_CANCEL_TRIES = 2;
 
 const ranOf: Record<gateMessage.Ran, Ran> = {
   [gateMessage.Ran.UNSPECIFIED]: 'may-have-run',
@@ -44,11 +44,11 @@
   return false;
 }
 
-const finalCodes = new Set<Code>([Code.NotFound, Code.OutOfRange]);
+const notResumableCodes = new Set<Code>([Code.NotFound, Code.OutOfRange]);
 
 /** Whether a gate answered that it does not know an attempt, or has its next events no more. */
 export function cannotResume(error: unknown): boolean {
-  return error instanceof ConnectError && finalCodes.has(error.code);
+  return error instanceof ConnectError && notResumableCodes.has(error.code);
 }
 
 /** Clients by connection; a dropped connection's client goes with it. */
@@ -67,12 +67,12 @@
   }
 
   /** The client over a connection. */
-  over(connection: Transport): GateRpc {
-    const known = this.clients.get(connection);
-    if (known !== undefined) return known;
-    const made = createClient(gateMessage.Gate, connection);
-    this.clients.set(connection, made);
-    return made;
+  client(connection: Transport): GateRpc {
+    const existing = this.clients.get(connection);
+    if (existing !== undefined) return existing;
+    const created = createClient(gateMessage.Gate, connection);
+    this.clients.set(connection, created);
+    return created;
   }
 
   /**
@@ -90,11 +90,13 @@
    * attempt that it does not know, so a Run message still in flight is refused on arrival: only that makes
    * "not run" true.
    */
-  async cancel(address: string, attempt: AttemptName): Promise<Ran> {
-    for (let tries = 0; tries < CANCEL_TRIES; tries += 1) {
+  async cancel(address: string, attempt: AttemptRef): Promise<Ran> {
+    for (let tries = 0; tries < MAX_CANCEL_TRIES; tries += 1) {
       const connection = this.connection(address);
       try {
-        const { ran } = await this.bounded((signal) => this.over(connection).cancel(attempt, { signal }));
+        const { ran } = await this.withCancelTimeout((signal) =>
+          this.client(connection).cancel(attempt, { signal }),
+        );
         return runState(ran);
       } catch (error) {
         if (neverSent(error)) break;
@@ -104,15 +106,15 @@
     return 'may-have-run';
   }
 
-  private async bounded<T>(call: (signal: AbortSignal) => Promise<T>): Promise<T> {
+  private async withCancelTimeout<T>(call: (signal: AbortSignal) => Promise<T>): Promise<T> {
     const controller = new AbortController();
-    const calledOff = this.clock.after(this.cancelTimeoutMs, () => {
+    const cancelTimer = this.clock.after(this.cancelTimeoutMs, () => {
       controller.abort();
     });
     try {
       return await call(controller.signal);
     } finally {
-      calledOff();
+      cancelTimer();
     }
   }
 }
--- a/packages/entry/src/gate/outcome.ts
+++ b/packages/entry/src/gate/outcome.ts
@@ -12,14 +12,14 @@
   | { readonly type: 'stopped' };
 
 /** Why reading a stream stopped short of its last event. */
-export interface Break {
+export interface StreamBreak {
   readonly type: 'break';
   readonly reason: 'lost' | 'silent' | 'gap' | 'crossed';
   readonly error?: unknown;
 }
 
 /** Tells a break from an outcome. */
-export function isBreak(result: AttemptOutcome | Break): result is Break {
+export function isBreak(result: AttemptOutcome | StreamBreak): result is StreamBreak {
   return result.type === 'break';
 }
 
--- a/packages/entry/src/gate/watchdog.spec.ts
+++ b/packages/entry/src/gate/watchdog.spec.ts
@@ -18,33 +18,33 @@
       return () => undefined;
     },
   };
-  let bites = 0;
-  const dog = new Watchdog(clock, 2_000, () => {
-    bites += 1;
+  let silences = 0;
+  const watchdog = new Watchdog(clock, 2_000, () => {
+    silences += 1;
   });
   now = 500;
-  dog.heard();
+  watchdog.reset();
   now = 6_000;
   armed?.action();
-  expect(bites).toBe(0);
+  expect(silences).toBe(0);
   expect(armed?.at).toBe(6_500);
   now = 6_500;
   armed?.action();
-  expect(bites).toBe(1);
+  expect(silences).toBe(1);
 });
 
 it('bites after the stated silence, and not while nobody reads', async () => {
   const clock = new ManualClock();
-  let bites = 0;
-  const dog = new Watchdog(clock, 100, () => {
-    bites += 1;
+  let silences = 0;
+  const watchdog = new Watchdog(clock, 100, () => {
+    silences += 1;
   });
-  dog.pause();
+  watchdog.pause();
   await clock.advance(1_000);
-  expect(bites).toBe(0);
-  dog.resume();
+  expect(silences).toBe(0);
+  watchdog.resume();
   await clock.advance(99);
-  expect(bites).toBe(0);
+  expect(silences).toBe(0);
   await clock.advance(101);
-  expect(bites).toBe(1);
+  expect(silences).toBe(1);
 });
--- a/packages/entry/src/gate/watchdog.ts
+++ b/packages/entry/src/gate/watchdog.ts
@@ -2,7 +2,7 @@
 import type { Cancellation, Clock } from '@jasmineroute/core';
 
 /** Lateness of a timer that says nothing, milliseconds. */
-const TIMER_SLACK_MS = 20;
+const TIMER_TOLERANCE_MS = 20;
 
 /**
  * Calls `bite` once nothing was heard for `silenceMs` while somebody listened. One timer for each stream,
@@ -13,57 +13,57 @@
  * would make the next pause.
  */
 export class Watchdog {
-  private heardAt: number;
-  private listening = true;
-  private calledOff: Cancellation = () => undefined;
+  private lastEventAt: number;
+  private isReading = true;
+  private cancelTimer: Cancellation = () => undefined;
   /** Monotonic time at which the timer is due. */
-  private due = 0;
+  private dueAt = 0;
   /** Milliseconds since `heardAt` in which nothing could be heard. */
-  private deafMs = 0;
+  private stalledMs = 0;
 
   constructor(
     private readonly clock: Clock,
     private readonly silenceMs: number,
-    private readonly bite: () => void,
+    private readonly onSilence: () => void,
   ) {
-    this.heardAt = clock.monotonic();
+    this.lastEventAt = clock.monotonic();
     this.arm(silenceMs);
   }
 
   /** Something came. */
-  heard(): void {
-    this.heardAt = this.clock.monotonic();
-    this.deafMs = 0;
+  reset(): void {
+    this.lastEventAt = this.clock.monotonic();
+    this.stalledMs = 0;
   }
 
   /** Nobody reads for now, so silence says nothing. */
   pause(): void {
-    this.listening = false;
+    this.isReading = false;
   }
 
   /** Reading goes on. */
   resume(): void {
-    this.listening = true;
-    this.heard();
+    this.isReading = true;
+    this.reset();
   }
 
   stop(): void {
-    this.calledOff();
+    this.cancelTimer();
   }
 
   private arm(ms: number): void {
-    this.due = this.clock.monotonic() + ms;
-    this.calledOff = this.clock.after(ms, () => {
+    this.dueAt = this.clock.monotonic() + ms;
+    this.cancelTimer = this.clock.after(ms, () => {
       this.check();
     });
   }
 
   private check(): void {
     const now = this.clock.monotonic();
-    const late = now - this.due;
-    if (late > TIMER_SLACK_MS) this.deafMs += late;
-    const silent = this.listening ? now - this.heardAt - this.deafMs : 0;
-    if (silent >= this.silenceMs) this.bite();
+    const late = now - this.dueAt;
+    if (late > TIMER_TOLERANCE_MS) this.stalledMs += late;
+    const silent = this.isReading ? now - this.lastEventAt - this.stalledMs : 0;
+    if (silent >= this.silenceMs) this.onSilence();
     else this.arm(this.silenceMs - silent);
   }
 }
--- a/packages/entry/src/http/badConnection.ts
+++ b/packages/entry/src/http/badConnection.ts
@@ -11,7 +11,7 @@
 
 const malformed: BadRequest = { status: 400, message: 'the request is not valid HTTP/1.1' };
 
-const answers: Readonly<Record<string, BadRequest>> = {
+const errorsByCode: Readonly<Record<string, BadRequest>> = {
   HPE_HEADER_OVERFLOW: { status: 431, message: 'the head of the request is too large' },
   HPE_CHUNK_EXTENSIONS_OVERFLOW: { status: 413, message: 'the chunk extensions are too large' },
   ERR_HTTP_REQUEST_TIMEOUT: { status: 408, message: 'the request did not arrive in time' },
@@ -21,13 +21,13 @@
 };
 
 /** The status that a parser's error is answered with. */
-export function statusOf(code: string | undefined): number {
-  return (answers[code ?? ''] ?? malformed).status;
+export function statusOfParserError(code: string | undefined): number {
+  return (errorsByCode[code ?? ''] ?? malformed).status;
 }
 
 /** Writes one error and closes; nothing that follows on such a connection can be trusted. */
 export function refuseConnection(code: string | undefined, socket: Socket): void {
-  const { status, message } = answers[code ?? ''] ?? malformed;
+  const { status, message } = errorsByCode[code ?? ''] ?? malformed;
   const body = JSON.stringify(errorBody(fault('invalid-request', message)));
   const head = [
     `HTTP/1.1 ${status} ${STATUS_CODES[status] ?? ''}`,
--- a/packages/entry/src/http/body.ts
+++ b/packages/entry/src/http/body.ts
@@ -8,23 +8,23 @@
 
 /** Bytes of request bodies that one process holds. */
 export class BodyBudget {
-  private used = 0;
+  private usedBytes = 0;
 
-  constructor(private readonly most: number) {}
+  constructor(private readonly maxBytes: number) {}
 
   get bytes(): number {
-    return this.used;
+    return this.usedBytes;
   }
 
   /** Takes room for bytes; false when there is none. */
   take(bytes: number): boolean {
-    if (this.used + bytes > this.most) return false;
-    this.used += bytes;
+    if (this.usedBytes + bytes > this.maxBytes) return false;
+    this.usedBytes += bytes;
     return true;
   }
 
   give(bytes: number): void {
-    this.used -= bytes;
+    this.usedBytes -= bytes;
   }
 }
 
--- a/packages/entry/src/http/callers.ts
+++ b/packages/entry/src/http/callers.ts
@@ -3,12 +3,12 @@
 import { endHop, fault, startHop } from '@jasmineroute/core';
 import type { Fault, HopSpan } from '@jasmineroute/core';
 import type { Model } from '@jasmineroute/document';
-import { admitRequest, carrierIn, modelsFor, readHead, requestIdOf } from '../call/index.js';
+import { resolveRequest, traceContextOf, modelsFor, readHead, requestIdOf } from '../call/index.js';
 import type { Call, CallerRequest } from '../call/index.js';
 import { entryEvents } from '../events.js';
 import { entryMetrics } from '../metrics.js';
-import { Work } from '../work/index.js';
-import type { WorkContext } from '../work/index.js';
+import { CallRun } from '../work/index.js';
+import type { EntryContext } from '../work/index.js';
 import type { CallerBindings } from './app.js';
 import { BodyBudget, readBody } from './body.js';
 import { Reply } from './reply.js';
@@ -26,22 +26,22 @@
   }
 }
 
-function entriesOf(models: readonly Model[]): { readonly id: string; readonly object: 'model' }[] {
+function modelList(models: readonly Model[]): { readonly id: string; readonly object: 'model' }[] {
   const ids = models.flatMap(({ name, adapters }) => [name, ...adapters.map((one) => `${name}:${one.name}`)]);
   return ids.map((id) => ({ id, object: 'model', created: 0, owned_by: 'jasmineroute' }));
 }
 
 /** Handles the requests of all callers of one entry. */
-export class Callers {
+export class RequestHandler {
   private readonly budget: BodyBudget;
   private open = 0;
 
-  constructor(private readonly context: WorkContext) {
+  constructor(private readonly context: EntryContext) {
     this.budget = new BodyBudget(context.settings.maxBufferedBytes);
   }
 
   /** Requests in work. */
-  get count(): number {
+  get openRequests(): number {
     return this.open;
   }
 
@@ -52,20 +52,24 @@
 
   /** Answers `/v1/models` and `/v1/models/{id}`. */
   async models(bindings: CallerBindings): Promise<void> {
-    await this.answer(bindings, (request, reply) => {
+    await this.respond(bindings, (request, reply) => {
       const models = modelsFor(request, this.context.view());
       if (models.isErr()) {
         reply.fail(models.error);
         return Promise.resolve();
       }
-      const wanted = modelInPath(request.path);
-      const data = entriesOf(models.value).filter(({ id }) => wanted === undefined || id === wanted);
+      const requestedId = modelInPath(request.path);
+      const data = modelList(models.value).filter(
+        ({ id }) => requestedId === undefined || id === requestedId,
+      );
       const [only] = data;
-      if (wanted !== undefined && only === undefined) {
-        reply.fail(fault('unknown-model', `there is no model ${JSON.stringify(wanted)} for this customer`));
+      if (requestedId !== undefined && only === undefined) {
+        reply.fail(
+          fault('unknown-model', `there is no model ${JSON.stringify(requestedId)} for this customer`),
+        );
         return Promise.resolve();
       }
-      const list = wanted === undefined ? { object: 'list', data } : only;
+      const list = requestedId === undefined ? { object: 'list', data } : only;
       const body = Buffer.from(JSON.stringify(list));
       reply.send(200, [{ name: 'content-type', value: 'application/json' }], body, 'ran');
       return Promise.resolve();
@@ -74,8 +78,8 @@
 
   /** Answers a call to a service. */
   async call(bindings: CallerBindings): Promise<void> {
-    await this.answer(bindings, async (request, reply, span) => {
-      const admitted = admitRequest(request, this.context.view());
+    await this.respond(bindings, async (request, reply, span) => {
+      const admitted = resolveRequest(request, this.context.view());
       if (admitted.isErr()) {
         this.refuse(bindings, reply, admitted.error);
         return;
@@ -86,19 +90,19 @@
         return;
       }
       try {
-        await this.work(admitted.value.complete(body.value.bytes), reply, span);
+        await this.execute(admitted.value.complete(body.value.bytes), reply, span);
       } finally {
         body.value.release();
       }
     });
   }
 
-  private async work(call: Result<Call, Fault>, reply: Reply, span: HopSpan): Promise<void> {
+  private async execute(call: Result<Call, Fault>, reply: Reply, span: HopSpan): Promise<void> {
     if (call.isErr()) {
       reply.fail(call.error);
       return;
     }
-    await new Work(this.context, call.value, reply, span).run();
+    await new CallRun(this.context, call.value, reply, span).run();
   }
 
   /** A refused request may still be sending its body: what follows on its connection can't be told from that. */
@@ -107,20 +111,20 @@
     reply.fail(problem);
   }
 
-  private async answer(
+  private async respond(
     { incoming, outgoing }: CallerBindings,
-    handle: (request: CallerRequest, reply: Reply, span: HopSpan) => Promise<void>,
+    handler: (request: CallerRequest, reply: Reply, span: HopSpan) => Promise<void>,
   ): Promise<void> {
     const { clock, settings } = this.context;
     const requestId = requestIdOf(incoming);
     const reply = new Reply(outgoing, clock, settings.callerStallMs, requestId);
-    const span = startHop('entry.request', 'server', { carrier: carrierIn(incoming) });
+    const span = startHop('entry.request', 'server', { carrier: traceContextOf(incoming) });
     span.span.setAttribute('request.id', requestId);
     this.open += 1;
     try {
       const request = readHead(incoming, requestId);
       if (request.isErr()) this.refuse({ incoming, outgoing }, reply, request.error);
-      else await handle(request.value, reply, span);
+      else await handler(request.value, reply, span);
     } catch (cause) {
       this.context.log.event(entryEvents.unexpected, { requestId, error: String(cause) });
       reply.fail(fault('internal', 'unexpected error', { cause }));
@@ -134,7 +138,7 @@
     const { metrics, log } = this.context;
     const { failure } = reply;
     metrics.count(entryMetrics.requests, 1, { status: String(reply.status), code: failure?.kind ?? 'ok' });
-    metrics.timing(entryMetrics.duration, reply.age());
+    metrics.timing(entryMetrics.duration, reply.elapsedMs());
     if (reply.firstByteMs !== undefined) metrics.timing(entryMetrics.firstByte, reply.firstByteMs);
     if (reply.stalled) log.event(entryEvents.callerStalled, { requestId: reply.requestId });
     endHop(span, failure?.kind);
--- a/packages/entry/src/http/drain.spec.ts
+++ b/packages/entry/src/http/drain.spec.ts
@@ -2,23 +2,26 @@
 import { connect } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
 import { FakeGate, accepted, chunk, delta, doneEvent, end, head, sse } from '../testing/gate.js';
-import type { Step } from '../testing/gate.js';
-import { KEY, chat, modelDocument, startWorld, target, until } from '../testing/world.js';
-import type { World } from '../testing/world.js';
+import type { ScriptStep } from '../testing/gate.js';
+import { KEY, chat, modelDocument, startTestEntry, target, waitUntil } from '../testing/world.js';
+import type { TestEntry } from '../testing/world.js';
 
 const gates: FakeGate[] = [];
-let world: World | undefined;
+let world: TestEntry | undefined;
 
-async function start(script: () => Step[], settings: object = {}): Promise<World & { gate: FakeGate }> {
+async function start(
+  script: () => ScriptStep[],
+  settings: object = {},
+): Promise<TestEntry & { gate: FakeGate }> {
   const gate = new FakeGate();
   await gate.start();
   gates.push(gate);
   gate.script = script;
-  world = await startWorld([modelDocument()], [target('agent', gate.address)], settings);
+  world = await startTestEntry([modelDocument()], [target('agent', gate.address)], settings);
   return { ...world, gate };
 }
 
-function opening(): { readonly step: Step; readonly open: () => void } {
+function createLatch(): { readonly step: ScriptStep; readonly open: () => void } {
   let open: () => void = () => undefined;
   const promise = new Promise<void>((resolve) => {
     open = resolve;
@@ -41,9 +44,9 @@
     // Symptom: a rolling restart cuts requests.
     // Sequence: the process is told to stop while a stream runs and the balancer still sends new requests.
     // Cause: a listener that closes before the balancer has noticed refuses what is on its way.
-    const gateway = opening();
+    const latch = createLatch();
     const { url, entry, directory } = await start(
-      () => [accepted, sse, chunk(delta('a')), gateway.step, chunk(doneEvent), end],
+      () => [accepted, sse, chunk(delta('a')), latch.step, chunk(doneEvent), end],
       { drainDelayMs: 300 },
     );
     const running = await chat(url);
@@ -53,9 +56,9 @@
     expect((await fetch(`${url}/healthz`)).status).toBe(200);
     const late = await chat(url);
     expect(late.headers.get('connection')).toBe('close');
-    await until(() => directory.left);
+    await waitUntil(() => directory.left);
     expect(performance.now() - began).toBeGreaterThanOrEqual(300);
-    gateway.open();
+    latch.open();
     expect(await running.text()).toBe(delta('a') + doneEvent);
     expect(await late.text()).toBe(delta('a') + doneEvent);
     await drained;
@@ -66,8 +69,8 @@
     // Symptom: a planned stop takes as long as idle connections are held.
     // Sequence: a stream begins, the stop begins, the stream ends; its connection could be used again.
     // Cause: its head went out before it could say that the connection closes.
-    const gateway = opening();
-    const script = [accepted, sse, chunk(delta('a')), gateway.step, chunk(doneEvent), end];
+    const latch = createLatch();
+    const script = [accepted, sse, chunk(delta('a')), latch.step, chunk(doneEvent), end];
     const { url, entry, directory } = await start(() => script, { streamSilenceMs: 20_000 });
     const agent = new Agent({ keepAlive: true });
     const body = JSON.stringify({ model: 'm', stream: true, messages: [{ role: 'user', content: 'hi' }] });
@@ -79,13 +82,13 @@
       });
       sent.end(body);
     });
-    await until(() => text !== '');
+    await waitUntil(() => text !== '');
     const drained = entry.drain();
-    await until(() => directory.left);
+    await waitUntil(() => directory.left);
     // Past the time in which the stopping entry waits for last connections: its listener is closed.
     const since = performance.now();
-    await until(() => performance.now() - since > 800);
-    gateway.open();
+    await waitUntil(() => performance.now() - since > 800);
+    latch.open();
     await ended;
     const finished = performance.now();
     await drained;
@@ -114,7 +117,7 @@
     // Cause: both streams share one connection to the gate.
     const length = 1_000;
     let taken = 0;
-    const count: Step = {
+    const count: ScriptStep = {
       case: 'reached',
       action: () => {
         taken += 1;
@@ -135,7 +138,7 @@
       `POST /v1/chat/completions HTTP/1.1\r\n${fields}\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
     );
     let before = -1;
-    await until(() => {
+    await waitUntil(() => {
       const still = taken > 0 && taken === before;
       before = taken;
       return still;
@@ -144,13 +147,13 @@
     expect(await (await chat(url)).text()).toBe(delta('quick') + doneEvent);
     // Longer than the bound on silence: a stream that is not read is not a silent one.
     const since = performance.now();
-    await until(() => performance.now() - since > 700);
+    await waitUntil(() => performance.now() - since > 700);
     let text = '';
     slow.on('data', (bytes: Buffer) => {
       text = (text + bytes.toString('latin1')).slice(-100);
     });
     slow.resume();
-    await until(() => text.includes('[DONE]'));
+    await waitUntil(() => text.includes('[DONE]'));
     expect(gate.resumes).toHaveLength(0);
     slow.destroy();
   });
@@ -172,27 +175,30 @@
     stalled.write(
       `POST /v1/chat/completions HTTP/1.1\r\n${fields}\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
     );
-    await until(() => gate.cancels.length === 1);
+    await waitUntil(() => gate.cancels.length === 1);
     let closed = false;
     let tail = '';
     stalled.on('close', () => (closed = true));
     stalled.on('data', (bytes: Buffer) => (tail = (tail + bytes.toString('latin1')).slice(-100)));
     stalled.resume();
-    await until(() => closed);
+    await waitUntil(() => closed);
     expect(tail).not.toContain('[DONE]');
   });
 });
 
 describe('a quiet stream', () => {
   it('tells its caller by comments that it lives', async () => {
-    const beat: Step[] = [
+    const heartbeat: ScriptStep[] = [
       { case: 'pause', ms: 60 },
       { case: 'heartbeat', value: {} },
     ];
-    const beats = [...beat, ...beat, ...beat];
-    const { url } = await start(() => [accepted, sse, chunk(delta('a')), ...beats, chunk(doneEvent), end], {
-      callerPingMs: 100,
-    });
+    const heartbeats = [...heartbeat, ...heartbeat, ...heartbeat];
+    const { url } = await start(
+      () => [accepted, sse, chunk(delta('a')), ...heartbeats, chunk(doneEvent), end],
+      {
+        callerPingMs: 100,
+      },
+    );
     const text = await (await chat(url)).text();
     expect(text.startsWith(delta('a'))).toBe(true);
     expect(text).toContain(': ping\n\n');
--- a/packages/entry/src/http/reply.ts
+++ b/packages/entry/src/http/reply.ts
@@ -23,7 +23,7 @@
 }
 
 /** Header fields that belong to one connection or that this process writes itself. */
-const OWN_FIELDS = new Set([
+const OMITTED_FIELDS = new Set([
   'connection',
   'keep-alive',
   'proxy-connection',
@@ -44,14 +44,14 @@
 
 /** One answer to a caller. Every method is harmless once the caller is gone. */
 export class Reply {
-  private readonly gone = new AbortController();
+  private readonly hangUp = new AbortController();
   private readonly startedAt: number;
-  private events = false;
+  private isEventStream = false;
   private fault: Fault | undefined;
-  private cut = false;
-  private firstWrite: number | undefined;
+  private wasCut = false;
+  private firstWriteAt: number | undefined;
   /** Monotonic time of the last byte written. */
-  private lastWrite = 0;
+  private lastWriteAt = 0;
 
   constructor(
     private readonly response: ServerResponse,
@@ -62,27 +62,27 @@
     this.startedAt = clock.monotonic();
     response.setHeader('x-request-id', requestId);
     response.on('error', () => {
-      this.gone.abort();
+      this.hangUp.abort();
     });
     response.on('close', () => {
-      if (!response.writableFinished) this.gone.abort();
+      if (!response.writableFinished) this.hangUp.abort();
     });
   }
 
   /** Aborts when the caller hangs up, or takes nothing for too long, before the answer is whole. */
   get hungUp(): AbortSignal {
-    return this.gone.signal;
+    return this.hangUp.signal;
   }
 
   get state(): ReplyState {
-    if (this.gone.signal.aborted) return 'gone';
+    if (this.hangUp.signal.aborted) return 'gone';
     if (this.response.writableEnded) return 'finished';
     return this.response.headersSent ? 'started' : 'open';
   }
 
   /** Whether the caller was cut because it took nothing. */
   get stalled(): boolean {
-    return this.cut;
+    return this.wasCut;
   }
 
   /** The fault that ended the answer, if one did. */
@@ -97,17 +97,17 @@
 
   /** Whether the head went out and the answer is a stream of events. */
   get streaming(): boolean {
-    return this.events;
+    return this.isEventStream;
   }
 
   /** Milliseconds since the request came. */
-  age(): number {
+  elapsedMs(): number {
     return this.clock.monotonic() - this.startedAt;
   }
 
   /** Milliseconds from the request to the first byte of a streamed body. */
   get firstByteMs(): number | undefined {
-    return this.firstWrite === undefined ? undefined : this.firstWrite - this.startedAt;
+    return this.firstWriteAt === undefined ? undefined : this.firstWriteAt - this.startedAt;
   }
 
   /** Sets one header field of an answer that has not begun. */
@@ -118,12 +118,12 @@
   /** Begins an answer with a target's head. `ran` is what is known of the run now. */
   head(status: number, headers: readonly HeaderField[], ran: Ran): void {
     if (this.state !== 'open') return;
-    for (const { name, value } of headers) this.field(name.toLowerCase(), value);
+    for (const { name, value } of headers) this.appendField(name.toLowerCase(), value);
     this.response.setHeader('x-run-state', ran);
-    if (this.events) this.response.removeHeader('content-length');
+    if (this.isEventStream) this.response.removeHeader('content-length');
     this.response.writeHead(status);
-    if (this.events) this.response.flushHeaders();
-    this.lastWrite = this.clock.monotonic();
+    if (this.isEventStream) this.response.flushHeaders();
+    this.lastWriteAt = this.clock.monotonic();
   }
 
   /**
@@ -132,16 +132,16 @@
    */
   write(bytes: Uint8Array): Promise<void> | undefined {
     if (this.state !== 'started' || bytes.length === 0) return undefined;
-    this.lastWrite = this.clock.monotonic();
-    this.firstWrite ??= this.lastWrite;
-    return this.response.write(bytes) ? undefined : this.drained();
+    this.lastWriteAt = this.clock.monotonic();
+    this.firstWriteAt ??= this.lastWriteAt;
+    return this.response.write(bytes) ? undefined : this.waitForDrain();
   }
 
   /** Sends an SSE comment when the stream has been quiet for `quietMs`, so that the caller knows it lives. */
   ping(quietMs: number): void {
-    if (!this.events || this.state !== 'started' || this.response.writableNeedDrain) return;
-    if (this.clock.monotonic() - this.lastWrite < quietMs) return;
-    this.lastWrite = this.clock.monotonic();
+    if (!this.isEventStream || this.state !== 'started' || this.response.writableNeedDrain) return;
+    if (this.clock.monotonic() - this.lastWriteAt < quietMs) return;
+    this.lastWriteAt = this.clock.monotonic();
     this.response.write(SSE_COMMENT);
   }
 
@@ -168,10 +168,10 @@
     if (this.state === 'finished' || this.state === 'gone') return;
     this.fault = fault;
     if (this.state === 'open') {
-      this.refuse(fault);
+      this.sendError(fault);
       return;
     }
-    if (!this.events) {
+    if (!this.isEventStream) {
       // A reset, not an end: without a stated length an old client takes the end for that of the answer.
       this.response.socket?.resetAndDestroy();
       return;
@@ -180,9 +180,9 @@
   }
 
   /** A field that is not valid is left out: Node throws on it, and the rest of the answer is good. */
-  private field(name: string, value: string): void {
-    if (OWN_FIELDS.has(name)) return;
-    if (name === 'content-type' && value.startsWith('text/event-stream')) this.events = true;
+  private appendField(name: string, value: string): void {
+    if (OMITTED_FIELDS.has(name)) return;
+    if (name === 'content-type' && value.startsWith('text/event-stream')) this.isEventStream = true;
     try {
       this.response.appendHeader(name, value);
     } catch {
@@ -190,7 +190,7 @@
     }
   }
 
-  private refuse(fault: Fault): void {
+  private sendError(fault: Fault): void {
     const { status } = answerOf(fault.kind);
     const body = Buffer.from(JSON.stringify(errorBody(fault)));
     if (fault.retryAfterMs !== undefined && fault.retryAfterMs > 0) {
@@ -199,18 +199,18 @@
     this.send(status, [{ name: 'content-type', value: 'application/json' }], body, fault.ran);
   }
 
-  private async drained(): Promise<void> {
-    const calledOff = this.clock.after(this.stallMs, () => {
-      this.cut = true;
-      this.gone.abort(new Error('stalled'));
+  private async waitForDrain(): Promise<void> {
+    const cancelTimer = this.clock.after(this.stallMs, () => {
+      this.wasCut = true;
+      this.hangUp.abort(new Error('stalled'));
       this.response.destroy();
     });
     try {
-      await once(this.response, 'drain', { signal: this.gone.signal });
+      await once(this.response, 'drain', { signal: this.hangUp.signal });
     } catch {
       // The caller is gone: `state` says so.
     } finally {
-      calledOff();
+      cancelTimer();
     }
   }
 }
--- a/packages/entry/src/http/request.spec.ts
+++ b/packages/entry/src/http/request.spec.ts
@@ -1,18 +1,18 @@
 import { connect } from 'node:net';
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
 import { FakeGate, accepted, chunk, delta, end, head, silence, sse } from '../testing/gate.js';
-import { KEY, chat, modelDocument, plainDocument, startWorld, target } from '../testing/world.js';
-import type { World } from '../testing/world.js';
+import { KEY, chat, modelDocument, plainDocument, startTestEntry, target } from '../testing/world.js';
+import type { TestEntry } from '../testing/world.js';
 
 const gate = new FakeGate();
-let world: World;
+let world: TestEntry;
 
 beforeAll(async () => {
   await gate.start();
   gate.script = () => [accepted, head(200, 'application/json'), chunk('{"ok":true}'), end];
   const documents = [modelDocument({ limits: { bodyBytes: 400 } }), plainDocument()];
   const instances = [target('agent', gate.address), target('desk-1', gate.address, 'desk')];
-  world = await startWorld(documents, instances, {
+  world = await startTestEntry(documents, instances, {
     headerTimeoutMs: 300,
     requestTimeoutMs: 400,
     maxHeaderBytes: 2_048,
--- a/packages/entry/src/http/server.ts
+++ b/packages/entry/src/http/server.ts
@@ -6,25 +6,25 @@
 import type { Clock, Log, StallWatch } from '@jasmineroute/core';
 import { entryEvents } from '../events.js';
 import type { EntrySettings } from '../setting/index.js';
-import { refuseConnection, statusOf } from './badConnection.js';
+import { refuseConnection, statusOfParserError } from './badConnection.js';
 
 /** Time for which a refused connection is still read, milliseconds. */
-const LINGER_MS = 1_000;
+const REFUSED_LINGER_MS = 1_000;
 
 /** How often Node looks for requests that take too long. */
 const CHECK_INTERVAL_MS = 1_000;
 const MAX_HEADER_FIELDS = 200;
 /** A listener is closed once no connection has come for this long. */
-const QUIET_MS = 300;
-const POLL_MS = 50;
+const ACCEPT_QUIET_MS = 300;
+const DRAIN_POLL_MS = 50;
 
 /** A connection of a stopping server is closed when it has been idle for this long. */
-const IDLE_MS = 1_000;
+const DRAIN_IDLE_MS = 1_000;
 
 /** An open connection. */
 interface CallerConnection {
   /** Answers that are not finished. */
-  readonly answers: Set<ServerResponse>;
+  readonly responses: Set<ServerResponse>;
   bytesRead: number;
   /** Monotonic time at which it was last seen busy. */
   activeAt: number;
@@ -46,8 +46,8 @@
 export class CallerServer {
   private readonly server: Server;
   /** Connections that got an error and are read out. */
-  private readonly refused = new WeakSet<Socket>();
-  private readonly answering = new Map<Socket, CallerConnection>();
+  private readonly refusedSockets = new WeakSet<Socket>();
+  private readonly openConnections = new Map<Socket, CallerConnection>();
   private lastConnectionAt = 0;
   private stopping = false;
 
@@ -99,7 +99,7 @@
 
   /** Open connections. */
   get connections(): number {
-    return this.answering.size;
+    return this.openConnections.size;
   }
 
   /** From now on every answer asks its caller to take a new connection, which the balancer sends elsewhere. */
@@ -112,28 +112,31 @@
    * reset with it. Then waits for the busy connections, and closes each one that has been idle for a while:
    * one that has just fallen idle may have its caller's next request on the way.
    */
-  async drain(patienceMs: number): Promise<void> {
-    const until = this.clock.monotonic() + patienceMs;
-    while (this.clock.monotonic() - this.lastConnectionAt < QUIET_MS && this.clock.monotonic() < until) {
-      await this.clock.sleep(POLL_MS);
+  async drain(maxWaitMs: number): Promise<void> {
+    const until = this.clock.monotonic() + maxWaitMs;
+    while (
+      this.clock.monotonic() - this.lastConnectionAt < ACCEPT_QUIET_MS &&
+      this.clock.monotonic() < until
+    ) {
+      await this.clock.sleep(DRAIN_POLL_MS);
     }
     // The HTTP server's own close cuts idle connections at once; that of the layer below only the listener.
     NetServer.prototype.close.call(this.server);
-    while (this.answering.size > 0) {
+    while (this.openConnections.size > 0) {
       this.closeIdle();
-      await this.clock.sleep(POLL_MS);
+      await this.clock.sleep(DRAIN_POLL_MS);
     }
   }
 
   private closeIdle(): void {
     const now = this.clock.monotonic();
-    for (const [socket, connection] of this.answering) {
-      if (connection.answers.size > 0 || connection.bytesRead !== socket.bytesRead) {
+    for (const [socket, connection] of this.openConnections) {
+      if (connection.responses.size > 0 || connection.bytesRead !== socket.bytesRead) {
         connection.bytesRead = socket.bytesRead;
         connection.activeAt = now;
         continue;
       }
-      if (now - connection.activeAt >= IDLE_MS) socket.destroySoon();
+      if (now - connection.activeAt >= DRAIN_IDLE_MS) socket.destroySoon();
     }
   }
 
@@ -149,7 +152,7 @@
   }
 
   private track(socket: Socket, outgoing: ServerResponse): void {
-    const answers = this.answering.get(socket)?.answers;
+    const answers = this.openConnections.get(socket)?.responses;
     answers?.add(outgoing);
     outgoing.once('close', () => answers?.delete(outgoing));
     if (this.stopping) outgoing.setHeader('connection', 'close');
@@ -164,7 +167,7 @@
    * request that crosses the close is never read, so its caller may send it elsewhere.
    */
   private closeAfter(socket: Socket, outgoing: ServerResponse): void {
-    const others = (this.answering.get(socket)?.answers.size ?? 0) - 1;
+    const others = (this.openConnections.get(socket)?.responses.size ?? 0) - 1;
     if (this.stopping && others <= 0 && outgoing.getHeader('connection') !== 'close') socket.destroySoon();
   }
 
@@ -172,41 +175,45 @@
     this.server.on('connection', (socket: Socket) => {
       this.stalls.noteConnection();
       this.lastConnectionAt = this.clock.monotonic();
-      this.answering.set(socket, { answers: new Set(), bytesRead: 0, activeAt: this.lastConnectionAt });
-      socket.once('close', () => this.answering.delete(socket));
+      this.openConnections.set(socket, {
+        responses: new Set(),
+        bytesRead: 0,
+        activeAt: this.lastConnectionAt,
+      });
+      socket.once('close', () => this.openConnections.delete(socket));
     });
     this.server.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) => {
-      this.refuse(error, socket);
+      this.handleClientError(error, socket);
     });
     this.server.on('connect', (_request: IncomingMessage, socket: Socket) => {
       refuseConnection(undefined, socket);
     });
   }
 
-  private refuse(error: NodeJS.ErrnoException, socket: Socket): void {
-    if (this.refused.has(socket)) return;
+  private handleClientError(error: NodeJS.ErrnoException, socket: Socket): void {
+    if (this.refusedSockets.has(socket)) return;
     if (!socket.writable || error.code === 'ECONNRESET') {
       socket.destroy();
       return;
     }
-    this.log.event(entryEvents.badConnection, { code: error.code, status: statusOf(error.code) });
-    const answers = [...(this.answering.get(socket)?.answers ?? [])];
+    this.log.event(entryEvents.badConnection, { code: error.code, status: statusOfParserError(error.code) });
+    const answers = [...(this.openConnections.get(socket)?.responses ?? [])];
     const busy = answers.some((answer) => answer.headersSent || answer.req.complete);
     // Earlier requests of the connection are in work: an error would be read as an answer to one of them.
     if (busy) socket.destroy();
-    else this.refuseSlowly(error, socket);
+    else this.refuseAndLinger(error, socket);
   }
 
   /**
    * Answers, and reads on for a moment before it closes. Closing while the caller still sends resets the
    * connection, and the reset takes the error away before the caller has read it.
    */
-  private refuseSlowly(error: NodeJS.ErrnoException, socket: Socket): void {
-    this.refused.add(socket);
+  private refuseAndLinger(error: NodeJS.ErrnoException, socket: Socket): void {
+    this.refusedSockets.add(socket);
     refuseConnection(error.code, socket);
-    const calledOff = this.clock.after(LINGER_MS, () => {
+    const cancelTimer = this.clock.after(REFUSED_LINGER_MS, () => {
       socket.destroy();
     });
-    socket.once('close', calledOff);
+    socket.once('close', cancelTimer);
   }
 }
--- a/packages/entry/src/stall.spec.ts
+++ b/packages/entry/src/stall.spec.ts
@@ -3,8 +3,8 @@
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { entryMetrics } from './metrics.js';
 import { FakeGate, accepted, chunk, doneEvent, end, sse } from './testing/gate.js';
-import { KEY, chat, modelDocument, startWorld, target } from './testing/world.js';
-import type { World } from './testing/world.js';
+import { KEY, chat, modelDocument, startTestEntry, target } from './testing/world.js';
+import type { TestEntry } from './testing/world.js';
 
 const CALLERS = 20;
 
@@ -20,13 +20,13 @@
 const BODY = JSON.stringify({ model: 'm', messages: [{ role: 'user', content: 'hi' }], stream: true });
 
 let gate: FakeGate;
-let world: World;
+let world: TestEntry;
 let callers: Socket[];
 
 beforeEach(async () => {
   gate = new FakeGate();
   gate.script = () => [accepted, sse, chunk(doneEvent), end];
-  world = await startWorld([modelDocument()], [target('agent-1', await gate.start())], settings);
+  world = await startTestEntry([modelDocument()], [target('agent-1', await gate.start())], settings);
   callers = await openConnections(new URL(world.url).host, CALLERS);
 });
 
@@ -58,7 +58,7 @@
 
 /** Ids of the requests that the gate got, once the entry is done with all calls. */
 async function arrivals(): Promise<string[]> {
-  await expect.poll(() => world.counted(entryMetrics.requests), { timeout }).toBe(CALLERS);
+  await expect.poll(() => world.counterValue(entryMetrics.requests), { timeout }).toBe(CALLERS);
   // Sent over the same connection to the gate, so what was sent before it has arrived when it is answered.
   const last = await chat(world.url);
   expect(await last.text()).toBe(doneEvent);
--- a/packages/entry/src/stream.spec.ts
+++ b/packages/entry/src/stream.spec.ts
@@ -14,32 +14,40 @@
   silence,
   sse,
 } from './testing/gate.js';
-import type { Step } from './testing/gate.js';
-import { chat, modelDocument, plainDocument, startWorld, target, until, KEY } from './testing/world.js';
-import type { World } from './testing/world.js';
+import type { ScriptStep } from './testing/gate.js';
+import {
+  chat,
+  modelDocument,
+  plainDocument,
+  startTestEntry,
+  target,
+  waitUntil,
+  KEY,
+} from './testing/world.js';
+import type { TestEntry } from './testing/world.js';
 
 interface ErrorEvent {
   readonly error: { readonly code: string; readonly run: string };
 }
 
-let world: World | undefined;
+let world: TestEntry | undefined;
 const gates: FakeGate[] = [];
 
-async function gate(): Promise<FakeGate> {
-  const made = new FakeGate();
-  await made.start();
-  gates.push(made);
-  return made;
+async function startGate(): Promise<FakeGate> {
+  const started = new FakeGate();
+  await started.start();
+  gates.push(started);
+  return started;
 }
 
-async function over(
+async function startEntry(
   targets: readonly FakeGate[],
   document: object = {},
   settings: object = {},
-): Promise<World> {
+): Promise<TestEntry> {
   const instances = targets.map((one, index) => target(`agent-${index}`, one.address));
   const bounds = { streamSilenceMs: 600, resumeWindowMs: 1_500, cancelTimeoutMs: 300, ...settings };
-  world = await startWorld([modelDocument(document), plainDocument()], instances, bounds);
+  world = await startTestEntry([modelDocument(document), plainDocument()], instances, bounds);
   return world;
 }
 
@@ -67,8 +75,8 @@
 
 describe('a stream', () => {
   it('reaches the caller byte for byte', async () => {
-    const one = await gate();
-    const { url } = await over([one]);
+    const one = await startGate();
+    const { url } = await startEntry([one]);
     one.script = () => [accepted, sse, chunk(delta('a')), chunk(delta('b') + doneEvent), end];
     const answer = await chat(url, {}, { 'x-request-id': 'mine' });
     expect(await answer.text()).toBe(delta('a') + delta('b') + doneEvent);
@@ -86,8 +94,8 @@
     // Symptom: a stream stands still for good although the target works.
     // Sequence: something between entry and agent loses track of the connection; no end, no reset arrives.
     // Cause: a connection's being open proves nothing; only heartbeats do, and they have ceased.
-    const one = await gate();
-    const { url, peers } = await over([one]);
+    const one = await startGate();
+    const { url, peers } = await startEntry([one]);
     const silent = peers.transport(one.address);
     one.script = () => [accepted, sse, chunk(delta('a')), silence];
     one.resumeScript = () => [chunk(delta('b')), chunk(doneEvent), end];
@@ -99,13 +107,13 @@
   });
 
   it('stays open while only heartbeats come', async () => {
-    const one = await gate();
-    const { url } = await over([one]);
-    const beats: Step[] = Array.from({ length: 8 }, (): Step[] => [
+    const one = await startGate();
+    const { url } = await startEntry([one]);
+    const heartbeats: ScriptStep[] = Array.from({ length: 8 }, (): ScriptStep[] => [
       { case: 'pause', ms: 100 },
       { case: 'heartbeat', value: {} },
     ]).flat();
-    one.script = () => [accepted, sse, ...beats, chunk(doneEvent), end];
+    one.script = () => [accepted, sse, ...heartbeats, chunk(doneEvent), end];
     expect(await (await chat(url)).text()).toContain(doneEvent);
     expect(one.resumes).toHaveLength(0);
   });
@@ -114,8 +122,8 @@
     // Symptom: a token is missing in the middle of an answer.
     // Sequence: a resume starts after the asked ordinal.
     // Cause: a gate that has dropped an event sends the next one.
-    const one = await gate();
-    const { url } = await over([one]);
+    const one = await startGate();
+    const { url } = await startEntry([one]);
     one.script = () => [accepted, sse, chunk(delta('a')), cut];
     let resumes = 0;
     one.resumeScript = () => {
@@ -131,8 +139,8 @@
     // Symptom: a caller reads another caller's answer.
     // Sequence: an event arrives on this stream under another request's id.
     // Cause: answers crossed somewhere on the way.
-    const one = await gate();
-    const { url } = await over([one]);
+    const one = await startGate();
+    const { url } = await startEntry([one]);
     one.script = () => [accepted, sse, chunk(delta('a')), { case: 'crossed' }, chunk(delta('stranger'))];
     one.resumeScript = () => [chunk(delta('b')), chunk(doneEvent), end];
     const text = await (await chat(url)).text();
@@ -143,8 +151,8 @@
     // Symptom: a caller takes half an answer for a whole one.
     // Sequence: the gate says that the answer ended, and the target's end marker never came.
     // Cause: a connection to the engine that closed was taken for the end of its stream.
-    const one = await gate();
-    const { url } = await over([one], { nonIdempotent: [{ models: ['m'] }] });
+    const one = await startGate();
+    const { url } = await startEntry([one], { nonIdempotent: [{ models: ['m'] }] });
     one.script = () => [accepted, sse, chunk(delta('a')), end];
     const text = await (await chat(url)).text();
     expect(text).not.toContain('[DONE]');
@@ -158,25 +166,25 @@
   const event = (body: object, choice: object = {}): string =>
     `data: ${JSON.stringify({ ...body, choices: [{ index: 0, delta: {}, finish_reason: null, ...choice }] })}\n\n`;
   const role = { delta: { role: 'assistant', content: '' } };
-  const say = (content: string): object => ({ delta: { content } });
+  const withContent = (content: string): object => ({ delta: { content } });
 
   it('is replaced by another one without a token lost or repeated', async () => {
     // Symptom: an answer breaks off, or a word stands in it twice.
     // Sequence: the agent is killed after two tokens and half an event; another target goes on.
     // Cause: nobody but the entry knows what the caller has.
-    const [one, two] = [await gate(), await gate()];
-    const { url } = await over([one, two]);
+    const [one, two] = [await startGate(), await startGate()];
+    const { url } = await startEntry([one, two]);
     const breaking = [
       accepted,
       sse,
-      chunk(event(first, role) + event(first, say('a'))),
-      chunk(event(first, say('b'))),
+      chunk(event(first, role) + event(first, withContent('a'))),
+      chunk(event(first, withContent('b'))),
     ];
-    const half = chunk(event(first, say('half')).slice(0, 20));
+    const half = chunk(event(first, withContent('half')).slice(0, 20));
     const rest = [
       accepted,
       sse,
-      chunk(event(other, role) + event(other, say('c'))),
+      chunk(event(other, role) + event(other, withContent('c'))),
       chunk(
         event({ ...other, usage: { prompt_tokens: 9, completion_tokens: 1 } }, { finish_reason: 'length' }),
       ),
@@ -209,9 +217,9 @@
     // Symptom: two valuation notes on one file.
     // Sequence: the agent is killed inside the answer to a call that may not be repeated.
     // Cause: continuing it elsewhere would run it a second time.
-    const [one, two] = [await gate(), await gate()];
-    const { url } = await over([one, two], { nonIdempotent: [{ models: ['m'] }] });
-    one.script = () => [accepted, sse, chunk(event(first, say('a'))), cut];
+    const [one, two] = [await startGate(), await startGate()];
+    const { url } = await startEntry([one, two], { nonIdempotent: [{ models: ['m'] }] });
+    one.script = () => [accepted, sse, chunk(event(first, withContent('a'))), cut];
     two.script = one.script;
     const text = await (await chat(url)).text();
     expect(errorIn(text)).toMatchObject({ code: 'target-lost', run: 'may-have-run' });
@@ -223,9 +231,9 @@
     // Symptom: a continued answer that is no valid JSON.
     // Sequence: the target of an answer with a stated format is lost.
     // Cause: another engine would begin the format anew in the middle of it.
-    const [one, two] = [await gate(), await gate()];
-    const { url } = await over([one, two]);
-    one.script = () => [accepted, sse, chunk(event(first, say('{'))), failure('target-lost')];
+    const [one, two] = [await startGate(), await startGate()];
+    const { url } = await startEntry([one, two]);
+    one.script = () => [accepted, sse, chunk(event(first, withContent('{'))), failure('target-lost')];
     two.script = one.script;
     const text = await (await chat(url, { response_format: { type: 'json_object' } })).text();
     expect(errorIn(text)).toMatchObject({ code: 'target-lost' });
@@ -233,9 +241,15 @@
   });
 
   it('ends the answer when all its tokens were there', async () => {
-    const [one, two] = [await gate(), await gate()];
-    const { url } = await over([one, two]);
-    one.script = () => [accepted, sse, chunk(event(first, say('a'))), chunk(event(first, say('b'))), cut];
+    const [one, two] = [await startGate(), await startGate()];
+    const { url } = await startEntry([one, two]);
+    one.script = () => [
+      accepted,
+      sse,
+      chunk(event(first, withContent('a'))),
+      chunk(event(first, withContent('b'))),
+      cut,
+    ];
     two.script = one.script;
     const text = await (await chat(url, { max_tokens: 2 })).text();
     expect(contentOf(text)).toBe('ab');
@@ -247,8 +261,8 @@
     // Symptom: a service with one target fails requests whenever its engine restarts.
     // Sequence: the engine is replaced while a request that may be repeated is at it.
     // Cause: a target that failed once is left out, and no other one is there.
-    const one = await gate();
-    const { url } = await over([one]);
+    const one = await startGate();
+    const { url } = await startEntry([one]);
     let runs = 0;
     one.script = () => {
       runs += 1;
@@ -260,10 +274,10 @@
   });
 
   it('does not matter once the end marker went out', async () => {
-    const one = await gate();
-    const { url } = await over([one]);
-    one.script = () => [accepted, sse, chunk(event(first, say('a')) + doneEvent), cut];
-    expect(await (await chat(url)).text()).toBe(event(first, say('a')) + doneEvent);
+    const one = await startGate();
+    const { url } = await startEntry([one]);
+    one.script = () => [accepted, sse, chunk(event(first, withContent('a')) + doneEvent), cut];
+    expect(await (await chat(url)).text()).toBe(event(first, withContent('a')) + doneEvent);
     expect(one.runs).toHaveLength(1);
   });
 });
@@ -272,8 +286,8 @@
   const json = head(200, 'application/json');
 
   it('is asked for elsewhere when it breaks, and the caller sees one whole answer', async () => {
-    const [one, two] = [await gate(), await gate()];
-    const { url } = await over([one, two]);
+    const [one, two] = [await startGate(), await startGate()];
+    const { url } = await startEntry([one, two]);
     let runs = 0;
     const script = () => {
       runs += 1;
@@ -290,8 +304,8 @@
     // Symptom: a truncated file is taken for a whole one.
     // Sequence: a large plain answer breaks in the middle.
     // Cause: an HTTP answer without a stated length ends like a whole one unless the connection is cut.
-    const one = await gate();
-    world = await startWorld([plainDocument()], [target('desk-1', one.address, 'desk')], {
+    const one = await startGate();
+    world = await startTestEntry([plainDocument()], [target('desk-1', one.address, 'desk')], {
       holdBytes: 4,
       resumeWindowMs: 100,
     });
@@ -302,8 +316,8 @@
   });
 
   it("passes on the target's own error when no other target helps", async () => {
-    const one = await gate();
-    const { url } = await over([one], {}, { maxAttempts: 1 });
+    const one = await startGate();
+    const { url } = await startEntry([one], {}, { maxAttempts: 1 });
     one.script = () => [accepted, head(503, 'application/json'), chunk('{"busy":1}'), end];
     const answer = await chat(url, { stream: false });
     expect(answer.status).toBe(503);
@@ -314,8 +328,8 @@
 
 describe('what an error says of the run', () => {
   it('is not-run when every gate refused', async () => {
-    const [one, two] = [await gate(), await gate()];
-    const { url } = await over([one, two]);
+    const [one, two] = [await startGate(), await startGate()];
+    const { url } = await startEntry([one, two]);
     one.script = () => [refusal('overloaded')];
     two.script = one.script;
     const answer = await chat(url);
@@ -326,8 +340,8 @@
   });
 
   it('is not-run when no connection could be made', async () => {
-    const one = await gate();
-    const { url } = await over([one], {}, { maxAttempts: 1 });
+    const one = await startGate();
+    const { url } = await startEntry([one], {}, { maxAttempts: 1 });
     await one.close();
     const answer = await chat(url);
     expect(await answer.json()).toMatchObject({ error: { code: 'target-unreachable', run: 'not-run' } });
@@ -337,8 +351,8 @@
     // Symptom: a caller is told "not run", sends again, and the request runs twice.
     // Sequence: the Run message is held up on the way; the connection is given up; later the message arrives.
     // Cause: no answer does not mean that the message was lost.
-    const one = await gate();
-    const { url } = await over([one], { nonIdempotent: [{ models: ['m'] }] }, { maxAttempts: 1 });
+    const one = await startGate();
+    const { url } = await startEntry([one], { nonIdempotent: [{ models: ['m'] }] }, { maxAttempts: 1 });
     one.script = () => [silence];
     const proved = await chat(url);
     expect(await proved.json()).toMatchObject({ error: { run: 'not-run' } });
@@ -352,8 +366,8 @@
     // Symptom: "not run" for a request that ran.
     // Sequence: the first target is lost at work, the second one refuses.
     // Cause: the last fault alone says nothing of the attempts before it.
-    const [one, two] = [await gate(), await gate()];
-    const { url } = await over([one, two], {}, { maxAttempts: 2 });
+    const [one, two] = [await startGate(), await startGate()];
+    const { url } = await startEntry([one, two], {}, { maxAttempts: 2 });
     let runs = 0;
     one.script = () => {
       runs += 1;
@@ -370,14 +384,14 @@
     // Symptom: an engine generates for nobody.
     // Sequence: a caller closes its connection in the middle of a stream.
     // Cause: the gate can't see the caller.
-    const one = await gate();
-    const { url } = await over([one]);
-    const beat = { case: 'heartbeat', value: {} } as const;
+    const one = await startGate();
+    const { url } = await startEntry([one]);
+    const heartbeat = { case: 'heartbeat', value: {} } as const;
     one.script = () => [
       accepted,
       sse,
       chunk(delta('a')),
-      beat,
+      heartbeat,
       { case: 'wait', for: new Promise(() => undefined) },
     ];
     const hangUp = new AbortController();
@@ -385,14 +399,14 @@
     await answer.body?.getReader().read();
     const began = performance.now();
     hangUp.abort();
-    await until(() => one.cancels.length === 1);
+    await waitUntil(() => one.cancels.length === 1);
     expect(performance.now() - began).toBeLessThan(1_000);
     expect(one.cancels[0]?.attemptId).toBe(one.runs[0]?.attemptId);
   });
 
   it('gets its answer when the deadline passes, whatever the gate does', async () => {
-    const one = await gate();
-    const { url } = await over([one], {}, { streamSilenceMs: 10_000 });
+    const one = await startGate();
+    const { url } = await startEntry([one], {}, { streamSilenceMs: 10_000 });
     one.script = () => [accepted, silence];
     one.cancelAnswer = 'silence';
     const began = performance.now();
--- a/packages/entry/src/testing/calls.ts
+++ b/packages/entry/src/testing/calls.ts
@@ -1,6 +1,6 @@
 /** Checked calls and announced targets for specs of single functions. */
 import type { Instance, View } from '@jasmineroute/directory';
-import { admitRequest } from '../call/index.js';
+import { resolveRequest } from '../call/index.js';
 import type { Call, CallerRequest } from '../call/index.js';
 import { KEY, target } from './world.js';
 
@@ -18,7 +18,7 @@
 /** A completion call for a model under the documents of a view. */
 export function callFor(view: View, model = 'm'): Call {
   const body = Buffer.from(JSON.stringify({ model, prompt: 'x' }));
-  return admitRequest(request, view)._unsafeUnwrap().complete(body)._unsafeUnwrap();
+  return resolveRequest(request, view)._unsafeUnwrap().complete(body)._unsafeUnwrap();
 }
 
 /** A target that has one version of the model "m" in memory. */
--- a/packages/entry/src/testing/gate.ts
+++ b/packages/entry/src/testing/gate.ts
@@ -9,7 +9,7 @@
 type EventInit = NonNullable<MessageInitShape<typeof gateMessage.RunEventSchema>['event']>;
 
 /** One step of a script. */
-export type Step =
+export type ScriptStep =
   | EventInit
   /** Sends nothing for some milliseconds. */
   | { readonly case: 'pause'; readonly ms: number }
@@ -26,25 +26,25 @@
   /** Sends the next event under another request's id. */
   | { readonly case: 'crossed' };
 
-export const accepted: Step = { case: 'accepted', value: create(gateMessage.AcceptedSchema, {}) };
-export const cut: Step = { case: 'cut' };
-export const silence: Step = { case: 'silence' };
+export const accepted: ScriptStep = { case: 'accepted', value: create(gateMessage.AcceptedSchema, {}) };
+export const cut: ScriptStep = { case: 'cut' };
+export const silence: ScriptStep = { case: 'silence' };
 
-export const head = (status: number, type: string): Step => ({
+export const head = (status: number, type: string): ScriptStep => ({
   case: 'head',
   value: create(gateMessage.HeadSchema, { status, headers: [{ name: 'content-type', value: type }] }),
 });
 
 export const sse = head(200, 'text/event-stream');
-export const chunk = (text: string): Step => ({ case: 'chunk', value: Buffer.from(text) });
-export const end: Step = { case: 'end', value: create(gateMessage.EndSchema, {}) };
+export const chunk = (text: string): ScriptStep => ({ case: 'chunk', value: Buffer.from(text) });
+export const end: ScriptStep = { case: 'end', value: create(gateMessage.EndSchema, {}) };
 
-export const refusal = (kind: string): Step => ({
+export const refusal = (kind: string): ScriptStep => ({
   case: 'refusal',
   value: create(gateMessage.RefusalSchema, { kind, message: kind }),
 });
 
-export const failure = (kind: string, ran = gateMessage.Ran.MAY_HAVE_RUN): Step => ({
+export const failure = (kind: string, ran = gateMessage.Ran.MAY_HAVE_RUN): ScriptStep => ({
   case: 'failure',
   value: create(gateMessage.FailureSchema, { kind, message: kind, ran }),
 });
@@ -57,7 +57,7 @@
 
 export const doneEvent = 'data: [DONE]\n\n';
 
-type Script = (request: gateMessage.RunRequest) => Step[];
+type Script = (request: gateMessage.RunRequest) => ScriptStep[];
 
 /** A running fake gate and what it saw. */
 export class FakeGate {
@@ -66,7 +66,7 @@
   readonly cancels: gateMessage.CancelRequest[] = [];
   script: Script = () => [accepted, end];
   /** What a resume sends, from its ordinal on; absent: the attempt is not known. */
-  resumeScript: ((request: gateMessage.ResumeRequest) => Step[]) | undefined;
+  resumeScript: ((request: gateMessage.ResumeRequest) => ScriptStep[]) | undefined;
   cancelAnswer: gateMessage.Ran | 'silence' = gateMessage.Ran.NOT_RUN;
   private server: RpcServer | undefined;
 
@@ -114,20 +114,20 @@
 async function* play(
   requestId: string,
   from: bigint,
-  steps: Step[],
+  steps: ScriptStep[],
   signal: AbortSignal,
 ): AsyncGenerator<gateMessage.RunEvent> {
-  const stopped = aborted(signal);
+  const streamAborted = aborted(signal);
   let ordinal = from;
   let id = requestId;
   for (const step of steps) {
-    if (step.case === 'wait') await Promise.race([step.for, stopped]);
+    if (step.case === 'wait') await Promise.race([step.for, streamAborted]);
     else if (step.case === 'reached') step.action();
     else if (step.case === 'skip') ordinal += 1n;
     else if (step.case === 'crossed') id = 'another';
     else if (step.case === 'cut') throw new ConnectError('cut', Code.Aborted);
     else if (step.case === 'pause') await new Promise((resolve) => setTimeout(resolve, step.ms));
-    else if (step.case === 'silence') await stopped;
+    else if (step.case === 'silence') await streamAborted;
     else {
       yield create(gateMessage.RunEventSchema, { requestId: id, ordinal, event: step });
       if (step.case !== 'heartbeat') ordinal += 1n;
--- a/packages/entry/src/testing/world.ts
+++ b/packages/entry/src/testing/world.ts
@@ -164,25 +164,25 @@
 }
 
 /** An entry that listens, and its surroundings. */
-export interface World {
+export interface TestEntry {
   readonly entry: EntryProcess;
   readonly url: string;
   readonly directory: FakeDirectory;
   readonly claims: FakeClaims;
   readonly peers: Peers;
   /** Value of a counter of the entry. */
-  counted(kind: MetricKind): number;
+  counterValue(kind: MetricKind): number;
   close(): Promise<void>;
 }
 
 /** Starts an entry over documents and instances. @param settings as flags would give them. */
-export async function startWorld(
+export async function startTestEntry(
   documents: readonly Document[],
   instances: readonly Instance[],
   settings: object = {},
   name = 'entry-1',
   claims = new FakeClaims(),
-): Promise<World> {
+): Promise<TestEntry> {
   const directory = new FakeDirectory(documents, instances);
   const peers = new Peers();
   const stalls = new StallWatch(systemClock);
@@ -212,7 +212,7 @@
     directory,
     claims,
     peers,
-    counted: (kind) => counters.get(kind) ?? 0,
+    counterValue: (kind) => counters.get(kind) ?? 0,
     close: async () => {
       await entry.close();
       stalls.stop();
@@ -237,7 +237,7 @@
 }
 
 /** Resolves once a condition holds. @throws Error after twenty seconds. */
-export async function until(condition: () => boolean): Promise<void> {
+export async function waitUntil(condition: () => boolean): Promise<void> {
   const deadline = performance.now() + 20_000;
   while (!condition()) {
     if (performance.now() > deadline) throw new Error('the condition never held');
--- a/packages/entry/src/work/admissions.ts
+++ b/packages/entry/src/work/admissions.ts
@@ -9,8 +9,8 @@
 const customerRules = new WeakMap<RoutedService, ReadonlyMap<string, CustomerRules>>();
 
 function rulesOf(service: RoutedService): ReadonlyMap<string, CustomerRules> {
-  const known = customerRules.get(service);
-  if (known !== undefined) return known;
+  const existing = customerRules.get(service);
+  if (existing !== undefined) return existing;
   const rules = new Map<string, CustomerRules>(
     service.customers.map(({ name, share, limits }) => [name, { share, ...limits }]),
   );
@@ -22,13 +22,13 @@
   role === 'entry' && (health === 'alive' || health === 'suspect');
 
 /** What admission needs of the instances; counted once for each picture of them. */
-interface Census {
+interface InstanceCounts {
   readonly instances: View['instances'];
   readonly entries: number;
   readonly capacity: ReadonlyMap<string, number>;
 }
 
-function count(instances: View['instances']): Census {
+function countInstances(instances: View['instances']): InstanceCounts {
   let entries = 0;
   const capacity = new Map<string, number>();
   for (const instance of instances.values()) {
@@ -43,7 +43,7 @@
 /** One admission for each service. */
 export class Admissions {
   private readonly admissions = new Map<string, Admission>();
-  private census: Census = count(new Map());
+  private counts: InstanceCounts = countInstances(new Map());
 
   constructor(
     private readonly view: () => View,
@@ -52,18 +52,18 @@
 
   /** The admission of a service. */
   of(service: string): Admission {
-    const known = this.admissions.get(service);
-    if (known !== undefined) return known;
-    const made = new Admission({ clock: this.clock, rules: () => this.rules(service) });
-    this.admissions.set(service, made);
-    return made;
+    const existing = this.admissions.get(service);
+    if (existing !== undefined) return existing;
+    const created = new Admission({ clock: this.clock, rules: () => this.rules(service) });
+    this.admissions.set(service, created);
+    return created;
   }
 
   private rules(service: string): AdmissionRules {
     const { documents, instances } = this.view();
-    if (this.census.instances !== instances) this.census = count(instances);
+    if (this.counts.instances !== instances) this.counts = countInstances(instances);
     const document = documents.get(service)?.document;
-    const { entries, capacity } = this.census;
+    const { entries, capacity } = this.counts;
     const shared = { capacity: capacity.get(service) ?? 0, liveEntries: entries };
     if (document === undefined || document.kind === 'control')
       return { customers: new Map(), queue: 0, ...shared };
--- a/packages/entry/src/work/background.ts
+++ b/packages/entry/src/work/background.ts
@@ -1,7 +1,7 @@
 /** Work that goes on after its caller was answered. */
 
 /** Counts tasks, so that a planned stop can wait for them. */
-export class Background {
+export class BackgroundTasks {
   private readonly tasks = new Set<Promise<void>>();
 
   get size(): number {
@@ -9,15 +9,15 @@
   }
 
   /** Follows a task; its errors go to `report`. */
-  follow(task: Promise<unknown>, report: (error: unknown) => void = () => undefined): void {
-    const followed: Promise<void> = task.then(
+  track(task: Promise<unknown>, report: (error: unknown) => void = () => undefined): void {
+    const settled: Promise<void> = task.then(
       () => undefined,
       (error: unknown) => {
         report(error);
       },
     );
-    this.tasks.add(followed);
-    void followed.finally(() => this.tasks.delete(followed));
+    this.tasks.add(settled);
+    void settled.finally(() => this.tasks.delete(settled));
   }
 
   /** Resolves when there is no task left. */
--- a/packages/entry/src/work/claimed.ts
+++ b/packages/entry/src/work/claimed.ts
@@ -3,89 +3,92 @@
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import type { Answer } from '../answer/index.js';
-import type { Orphan, Settled, Verdict } from '../claim/index.js';
+import type { OrphanedAttempt, AttemptSettlement, ClaimResult } from '../claim/index.js';
 import { entryEvents } from '../events.js';
 import { entryMetrics } from '../metrics.js';
-import type { WorkContext } from './context.js';
-import type { Aftermath, Sending, Step, Subject } from './plan.js';
+import type { EntryContext } from './context.js';
+import type { FailureHandler, PlacedAttempt, NextAttempt, ActiveCall } from './plan.js';
 import type { Sender } from './sender.js';
 
 /** The parts of one call's work that a claimed attempt uses. */
 export interface ClaimedParts {
   readonly sender: Sender;
   readonly answer: Answer;
-  readonly aftermath: Aftermath;
+  readonly failureHandler: FailureHandler;
 }
 
 /** Sends under a claim, and settles it. */
 export class ClaimedSender {
   constructor(
-    private readonly context: WorkContext,
-    private readonly subject: Subject,
+    private readonly context: EntryContext,
+    private readonly active: ActiveCall,
     private readonly parts: ClaimedParts,
   ) {}
 
   /** Takes the claim, sends, and settles by what is proved. */
-  async send(sending: Sending): Promise<Step> {
-    const { candidate } = sending.placement;
-    const { attemptId } = sending.name;
+  async send(attempt: PlacedAttempt): Promise<NextAttempt> {
+    const { candidate } = attempt.placement;
+    const { attemptId } = attempt.ref;
     const holder = { agent: candidate.name, incarnation: candidate.engineIncarnation };
-    const verdict = await this.context.claims.take(this.subject.call, attemptId, holder);
-    if (verdict.type !== 'granted') return this.ungranted(verdict, sending);
-    if (this.subject.stop.aborted) {
+    const result = await this.context.claims.acquire(this.active.call, attemptId, holder);
+    if (result.type !== 'granted') return this.handleNotGranted(result, attempt);
+    if (this.active.stop.aborted) {
       this.settle(attemptId, { type: 'released' });
       return undefined;
     }
-    const outcome = await this.parts.sender.send(sending);
+    const outcome = await this.parts.sender.send(attempt);
     return match(outcome)
-      .with({ type: 'ended' }, () => this.ended(attemptId))
-      .with({ type: 'refused' }, { type: 'failed' }, (lost) => this.failed(lost.fault, sending))
-      .with({ type: 'stopped' }, () => this.stopped(sending))
+      .with({ type: 'ended' }, () => this.handleEnd(attemptId))
+      .with({ type: 'refused' }, { type: 'failed' }, (lost) => this.handleFailure(lost.fault, attempt))
+      .with({ type: 'stopped' }, () => this.handleStop(attempt))
       .exhaustive();
   }
 
-  private ended(attemptId: string): Step {
+  private handleEnd(attemptId: string): NextAttempt {
     const problem = this.parts.answer.finish();
     if (problem !== undefined) {
       this.settle(attemptId, { type: 'unknown' });
-      return this.parts.aftermath.fail(problem);
+      return this.parts.failureHandler.fail(problem);
     }
-    const answer = this.parts.answer.keep(this.subject.call.service.claims.answerBytes);
+    const answer = this.parts.answer.toKeptAnswer(this.active.call.service.claims.answerBytes);
     this.settle(attemptId, { type: 'done', answer });
     return undefined;
   }
 
-  private async failed(problem: Fault, sending: Sending): Promise<Step> {
-    const { attemptId } = sending.name;
-    const { answer, aftermath } = this.parts;
-    if (answer.marked) return this.ended(attemptId);
+  private async handleFailure(problem: Fault, attempt: PlacedAttempt): Promise<NextAttempt> {
+    const { attemptId } = attempt.ref;
+    const { answer, failureHandler } = this.parts;
+    if (answer.isEndMarkerSent) return this.handleEnd(attemptId);
     if (problem.ran !== 'not-run') {
       this.settle(attemptId, { type: 'unknown' });
-      return aftermath.fail(problem);
+      return failureHandler.fail(problem);
     }
     // Proved not run: the key is free again, and another attempt takes it anew.
-    const step = aftermath.again(problem, sending);
-    const released = this.context.claims.settle(this.subject.call, attemptId, { type: 'released' });
+    const step = failureHandler.retryOrFail(problem, attempt);
+    const released = this.context.claims.settle(this.active.call, attemptId, { type: 'released' });
     if (step !== undefined) await this.unlessStopped(released);
     return step;
   }
 
-  private async stopped(sending: Sending): Promise<Step> {
-    const ran = await this.parts.sender.cancel(sending);
-    this.settle(sending.name.attemptId, ran === 'not-run' ? { type: 'released' } : { type: 'unknown' });
+  private async handleStop(attempt: PlacedAttempt): Promise<NextAttempt> {
+    const ran = await this.parts.sender.cancel(attempt);
+    this.settle(attempt.ref.attemptId, ran === 'not-run' ? { type: 'released' } : { type: 'unknown' });
     return undefined;
   }
 
-  private ungranted(verdict: Exclude<Verdict, { type: 'granted' }>, sending: Sending): Promise<Step> | Step {
-    return match(verdict)
+  private handleNotGranted(
+    result: Exclude<ClaimResult, { type: 'granted' }>,
+    attempt: PlacedAttempt,
+  ): Promise<NextAttempt> | NextAttempt {
+    return match(result)
       .with({ type: 'replay' }, (replay) => this.replay(replay))
-      .with({ type: 'orphan' }, (orphan) => this.takeOver(orphan, sending))
-      .with({ type: 'refused' }, (refused) => this.parts.aftermath.fail(refused.fault))
+      .with({ type: 'orphan' }, (orphan) => this.takeOver(orphan, attempt))
+      .with({ type: 'refused' }, (refused) => this.parts.failureHandler.fail(refused.fault))
       .exhaustive();
   }
 
-  private replay({ answer }: Extract<Verdict, { type: 'replay' }>): Step {
-    const { reply } = this.subject;
+  private replay({ answer }: Extract<ClaimResult, { type: 'replay' }>): NextAttempt {
+    const { reply } = this.active;
     const { status, contentType, body } = answer;
     this.context.metrics.count(entryMetrics.replays);
     reply.header('x-idempotent-replay', 'true');
@@ -94,44 +97,44 @@
   }
 
   /** The entry that held the claim is gone: asks the agent for the answer, or for what is proved. */
-  private async takeOver(orphan: Orphan, { plan }: Sending): Promise<Step> {
+  private async takeOver(orphan: OrphanedAttempt, { plan }: PlacedAttempt): Promise<NextAttempt> {
     const { log, view, claims } = this.context;
     const { attemptId, requestId, holder } = orphan;
-    log.event(entryEvents.claimTakenOver, { requestId: this.subject.call.requestId, attemptId });
+    log.event(entryEvents.claimTakenOver, { requestId: this.active.call.requestId, attemptId });
     const agent = view().instances.get(holder.agent);
     if (agent === undefined || agent.health === 'down') return this.outcomeUnknown(attemptId);
-    const name = { requestId, attemptId, incarnation: holder.incarnation };
-    const outcome = await this.parts.sender.attach(agent.address, name);
+    const ref = { requestId, attemptId, incarnation: holder.incarnation };
+    const outcome = await this.parts.sender.attach(agent.address, ref);
     switch (outcome.type) {
       case 'ended':
-        return this.ended(attemptId);
+        return this.handleEnd(attemptId);
       case 'refused':
       case 'failed': {
-        if (outcome.fault.kind === 'already-running') return this.parts.aftermath.fail(outcome.fault);
+        if (outcome.fault.kind === 'already-running') return this.parts.failureHandler.fail(outcome.fault);
         if (outcome.fault.ran !== 'not-run') return this.outcomeUnknown(attemptId);
-        await this.unlessStopped(claims.settle(this.subject.call, attemptId, { type: 'released' }));
-        const { aftermath } = this.parts;
-        return aftermath.mayRetry('target-lost') ? plan : aftermath.fail(outcome.fault);
+        await this.unlessStopped(claims.settle(this.active.call, attemptId, { type: 'released' }));
+        const { failureHandler } = this.parts;
+        return failureHandler.mayRetry('target-lost') ? plan : failureHandler.fail(outcome.fault);
       }
       case 'stopped':
         return undefined;
     }
   }
 
-  private outcomeUnknown(attemptId: string): Step {
+  private outcomeUnknown(attemptId: string): NextAttempt {
     this.settle(attemptId, { type: 'unknown' });
     const message = 'the first request with this key may have run; it is not run again';
-    return this.parts.aftermath.fail(fault('outcome-unknown', message));
+    return this.parts.failureHandler.fail(fault('outcome-unknown', message));
   }
 
   /** Goes on in the background; a planned stop waits for it. */
-  private settle(attemptId: string, settled: Settled): void {
-    void this.context.claims.settle(this.subject.call, attemptId, settled);
+  private settle(attemptId: string, settlement: AttemptSettlement): void {
+    void this.context.claims.settle(this.active.call, attemptId, settlement);
   }
 
   /** Waits for a task, but not past the end of the call. */
   private async unlessStopped(task: Promise<void>): Promise<void> {
-    const { stop } = this.subject;
+    const { stop } = this.active;
     if (stop.aborted) return;
     const stopped = new Promise<void>((resolve) => {
       stop.addEventListener('abort', () => {
--- a/packages/entry/src/work/context.ts
+++ b/packages/entry/src/work/context.ts
@@ -7,10 +7,10 @@
 import type { EntrySettings } from '../setting/index.js';
 import type { Admissions } from './admissions.js';
 import type { Decisions } from './decisions.js';
-import type { Background } from './background.js';
+import type { BackgroundTasks } from './background.js';
 
 /** Shared by all calls. */
-export interface WorkContext {
+export interface EntryContext {
   readonly settings: EntrySettings;
   readonly clients: GateClients;
   readonly claims: Claims;
@@ -18,7 +18,7 @@
   readonly admissions: Admissions;
   readonly budget: RetryBudget;
   readonly attemptIds: AttemptIds;
-  readonly background: Background;
+  readonly background: BackgroundTasks;
   readonly view: () => View;
   readonly clock: Clock;
   readonly stalls: StallWatch;
--- a/packages/entry/src/work/decisions.ts
+++ b/packages/entry/src/work/decisions.ts
@@ -8,7 +8,7 @@
 import { encodeChain, policies } from '@jasmineroute/routing';
 import type { Candidate, Job, Policy, ProbeReading } from '@jasmineroute/routing';
 import { candidatesOf } from '../call/index.js';
-import type { Call, GateCandidate, ModelPart } from '../call/index.js';
+import type { Call, GateCandidate, RequestedModel } from '../call/index.js';
 import { entryMetrics } from '../metrics.js';
 import { readingOf } from './reading.js';
 import type { GateClients } from '../gate/index.js';
@@ -36,23 +36,23 @@
 const PLAIN_POLICY = 'least-outstanding';
 const FALLBACK_POLICY = 'default';
 
-interface KnownPolicy {
+interface NamedPolicy {
   readonly name: string;
   readonly policy: Policy;
 }
 
 /** Decides for all services of one entry. */
 export class Decisions {
-  private readonly known = new Map<string, KnownPolicy>();
+  private readonly policyByService = new Map<string, NamedPolicy>();
 
   constructor(private readonly options: DecisionOptions) {}
 
   /** Chooses a target. Refusals mean that nothing was sent. */
-  async place(call: Call, model: ModelPart | undefined, job: Job): Promise<Result<Placement, Fault>> {
+  async place(call: Call, model: RequestedModel | undefined, job: Job): Promise<Result<Placement, Fault>> {
     const { view, clock, metrics } = this.options;
     const all = candidatesOf(call, model, view());
     const open = all.filter(({ name }) => !job.excluded.has(name));
-    if (open.length === 0) return err(this.absence(call, all.length));
+    if (open.length === 0) return err(this.noTargetFault(call, all.length));
     const policy = this.policyOf(call.service);
     const began = clock.monotonic();
     const choice = await policy.choose(job, open);
@@ -63,7 +63,7 @@
     return ok({ candidate, policy, importFrom });
   }
 
-  private absence(call: Call, excluded: number): Fault {
+  private noTargetFault(call: Call, excluded: number): Fault {
     const { service } = call.service;
     if (excluded > 0) return fault('no-target', `no other target of ${service} can take the request`);
     const instances = [...this.options.view().instances.values()];
@@ -78,8 +78,8 @@
 
   private policyOf(service: RoutedService): Policy {
     const wanted = service.kind === 'model' ? service.policy : PLAIN_POLICY;
-    const known = this.known.get(service.service);
-    if (known?.name === wanted) return known.policy;
+    const existing = this.policyByService.get(service.service);
+    if (existing?.name === wanted) return existing.policy;
     const factory = policies.find(wanted) ?? policies.get(FALLBACK_POLICY);
     const { clock, dataCentre, seed } = this.options;
     const policy = factory({
@@ -88,7 +88,7 @@
       seed,
       probe: (candidate, job) => this.probe(candidate, job),
     });
-    this.known.set(service.service, { name: wanted, policy });
+    this.policyByService.set(service.service, { name: wanted, policy });
     return policy;
   }
 
@@ -96,12 +96,12 @@
     const { view, clients, clock, probeTimeoutMs } = this.options;
     const address = view().instances.get(candidate.name)?.address;
     if (address === undefined) return undefined;
-    const cut = new AbortController();
-    const calledOff = clock.after(probeTimeoutMs, () => {
-      cut.abort();
+    const timeout = new AbortController();
+    const cancelTimer = clock.after(probeTimeoutMs, () => {
+      timeout.abort();
     });
     try {
-      const answer = await clients.over(clients.connection(address)).probe(
+      const answer = await clients.client(clients.connection(address)).probe(
         {
           service: job.service,
           model: job.model,
@@ -110,13 +110,13 @@
           promptTokens: job.promptTokens,
           priority: job.priority,
         },
-        { signal: cut.signal },
+        { signal: timeout.signal },
       );
       return readingOf(answer);
     } catch {
       return undefined;
     } finally {
-      calledOff();
+      cancelTimer();
     }
   }
 }
--- a/packages/entry/src/work/job.ts
+++ b/packages/entry/src/work/job.ts
@@ -2,12 +2,12 @@
 import type { Prompt } from '@jasmineroute/engine';
 import { createChain, tokensOf } from '@jasmineroute/routing';
 import type { Job } from '@jasmineroute/routing';
-import type { Call, ModelPart } from '../call/index.js';
+import type { Call, RequestedModel } from '../call/index.js';
 
 /** The job that a policy gets for a call. @param model the weights of this attempt. @param prompt the prompt of this attempt; absent: a plain service. */
 export function jobOf(
   call: Call,
-  model: ModelPart | undefined,
+  model: RequestedModel | undefined,
   prompt: Prompt | undefined,
   excluded: ReadonlySet<string>,
   deadlineMs: number,
--- a/packages/entry/src/work/plan.ts
+++ b/packages/entry/src/work/plan.ts
@@ -2,12 +2,12 @@
 import type { Fault, HopSpan, Ran } from '@jasmineroute/core';
 import type { Job } from '@jasmineroute/routing';
 import type { Call } from '../call/index.js';
-import type { AttemptName } from '../gate/index.js';
+import type { AttemptRef } from '../gate/index.js';
 import type { Reply } from '../http/reply.js';
 import type { Placement } from './decisions.js';
 
 /** The call that attempts are made for. */
-export interface Subject {
+export interface ActiveCall {
   readonly call: Call;
   readonly reply: Reply;
   readonly span: HopSpan;
@@ -18,36 +18,36 @@
 }
 
 /** What the next attempt asks for. */
-export interface Plan {
+export interface AttemptPlan {
   readonly body: Uint8Array;
   /** Output tokens that the caller has. */
   readonly tokens: number;
 }
 
 /** What comes after an attempt: another one, or nothing. */
-export type Step = Plan | undefined;
+export type NextAttempt = AttemptPlan | undefined;
 
 /** One attempt at a chosen target. */
-export interface Sending {
-  readonly plan: Plan;
+export interface PlacedAttempt {
+  readonly plan: AttemptPlan;
   readonly job: Job;
   readonly placement: Placement;
-  readonly name: AttemptName;
+  readonly ref: AttemptRef;
 }
 
 /** What may follow an attempt that did not give the whole answer. */
-export interface Aftermath {
+export interface FailureHandler {
   /** Goes on elsewhere where that is allowed, else gives up. */
-  again(problem: Fault, sending: Sending): Step;
+  retryOrFail(problem: Fault, attempt: PlacedAttempt): NextAttempt;
   /** Gives the caller the fault. */
-  fail(problem: Fault): Step;
+  fail(problem: Fault): NextAttempt;
   /** Whether another attempt is allowed; takes it off the retry budget. */
   mayRetry(kind: Fault['kind']): boolean;
 }
 
-const rank: Record<Ran, number> = { 'not-run': 0, 'may-have-run': 1, ran: 2 };
+const runStateRank: Record<Ran, number> = { 'not-run': 0, 'may-have-run': 1, ran: 2 };
 
 /** What is known of a request of which two attempts are known. */
-export function worse(one: Ran, other: Ran): Ran {
-  return rank[one] >= rank[other] ? one : other;
+export function combineRunStates(one: Ran, other: Ran): Ran {
+  return runStateRank[one] >= runStateRank[other] ? one : other;
 }
--- a/packages/entry/src/work/sender.ts
+++ b/packages/entry/src/work/sender.ts
@@ -7,35 +7,35 @@
 import { encodeChain } from '@jasmineroute/routing';
 import type { Answer } from '../answer/index.js';
 import { Attempt } from '../gate/index.js';
-import type { AttemptName, AttemptOutcome } from '../gate/index.js';
+import type { AttemptRef, AttemptOutcome } from '../gate/index.js';
 import { entryMetrics } from '../metrics.js';
-import type { WorkContext } from './context.js';
-import type { Sending, Subject } from './plan.js';
+import type { EntryContext } from './context.js';
+import type { PlacedAttempt, ActiveCall } from './plan.js';
 import { loadOf } from './reading.js';
 
 const TRACE_FIELDS: ReadonlySet<string> = new Set(['traceparent', 'tracestate']);
 
 /** Sends attempts, one at a time. */
 export class Sender {
-  private sending = false;
+  private isSending = false;
 
   constructor(
-    private readonly context: WorkContext,
-    private readonly subject: Subject,
+    private readonly context: EntryContext,
+    private readonly active: ActiveCall,
     private readonly answer: Answer,
   ) {}
 
   /** Whether a gate may have an attempt now. */
   get busy(): boolean {
-    return this.sending;
+    return this.isSending;
   }
 
   /** Sends one attempt and follows it to its end; the policy learns of it. */
-  async send(sending: Sending): Promise<AttemptOutcome> {
+  async send(placed: PlacedAttempt): Promise<AttemptOutcome> {
     const { clock, metrics } = this.context;
-    const { placement, job } = sending;
+    const { placement, job } = placed;
     const { candidate, policy } = placement;
-    const hop = startHop('gate.run', 'client', { parent: this.subject.span });
+    const hop = startHop('gate.run', 'client', { parent: this.active.span });
     const began = clock.monotonic();
     const firstTokenMs = (): number | undefined => {
       const { firstChunkAt } = this.answer;
@@ -45,8 +45,8 @@
       policy.settled({ candidate, job, phase: 'first-token', ok: true, firstTokenMs: firstTokenMs() });
     });
     policy.dispatched(candidate, job);
-    const outcome = await this.follow(candidate.address, sending.name, (attempt) =>
-      attempt.run(this.message(sending, hop)),
+    const outcome = await this.followAttempt(candidate.address, placed.ref, (attempt) =>
+      attempt.run(this.createMessage(placed, hop)),
     );
     const end = outcome.type === 'ended' ? outcome.end : undefined;
     const ok = outcome.type === 'ended';
@@ -61,35 +61,35 @@
   }
 
   /** Follows an attempt that another entry sent. */
-  attach(address: string, name: AttemptName): Promise<AttemptOutcome> {
-    return this.follow(address, name, (attempt) => attempt.attach());
+  attach(address: string, ref: AttemptRef): Promise<AttemptOutcome> {
+    return this.followAttempt(address, ref, (attempt) => attempt.attach());
   }
 
   /** Stops an attempt. @returns what is proved of it. */
-  cancel({ placement, name }: Sending): Promise<Ran> {
-    return this.context.clients.cancel(placement.candidate.address, name);
+  cancel({ placement, ref }: PlacedAttempt): Promise<Ran> {
+    return this.context.clients.cancel(placement.candidate.address, ref);
   }
 
-  private async follow(
+  private async followAttempt(
     address: string,
-    name: AttemptName,
+    ref: AttemptRef,
     run: (attempt: Attempt) => Promise<AttemptOutcome>,
   ): Promise<AttemptOutcome> {
     const { settings, clients, clock, log, metrics } = this.context;
-    const repeatable = this.subject.call.idempotent;
+    const repeatable = this.active.call.idempotent;
     const context = { clients, clock, log, metrics, repeatable, bounds: settings };
-    this.sending = true;
+    this.isSending = true;
     try {
-      return await run(new Attempt(context, address, name, this.answer, this.subject.stop));
+      return await run(new Attempt(context, address, ref, this.answer, this.active.stop));
     } finally {
-      this.sending = false;
+      this.isSending = false;
     }
   }
 
-  private message({ plan, job, placement, name }: Sending, hop: HopSpan): gateMessage.RunRequest {
-    const { call, remaining } = this.subject;
+  private createMessage({ plan, job, placement, ref }: PlacedAttempt, hop: HopSpan): gateMessage.RunRequest {
+    const { call, remaining } = this.active;
     return create(gateMessage.RunRequestSchema, {
-      ...name,
+      ...ref,
       service: call.service.service,
       customer: call.customer,
       model: job.model,
@@ -97,7 +97,7 @@
       weightsVersion: job.weightsVersion ?? '',
       method: call.method,
       path: call.path,
-      headers: traced(call.headers, carrierOf(hop)),
+      headers: withTraceContext(call.headers, carrierOf(hop)),
       body: plan.body,
       priority: call.priority,
       deadlineMs: remaining(),
@@ -111,7 +111,7 @@
 }
 
 /** Puts this hop's trace context in place of the caller's; without tracing the caller's passes on. */
-function traced(headers: readonly HeaderField[], carrier: Carrier): HeaderField[] {
+function withTraceContext(headers: readonly HeaderField[], carrier: Carrier): HeaderField[] {
   const own = Object.entries(carrier).map(([name, value]) => ({ name, value }));
   if (own.length === 0) return [...headers];
   return [...headers.filter(({ name }) => !TRACE_FIELDS.has(name)), ...own];
--- a/packages/entry/src/work/work.ts
+++ b/packages/entry/src/work/work.ts
@@ -8,16 +8,16 @@
 import type { Reply } from '../http/reply.js';
 import { entryMetrics } from '../metrics.js';
 import { Attempts } from './attempts.js';
-import type { WorkContext } from './context.js';
+import type { EntryContext } from './context.js';
 
 /** The work on one call. Made for one use. */
-export class Work {
+export class CallRun {
   private readonly stop = new AbortController();
   private readonly attempts: Attempts;
   private readonly deadline: number;
 
   constructor(
-    private readonly context: WorkContext,
+    private readonly context: EntryContext,
     private readonly call: Call,
     private readonly reply: Reply,
     span: HopSpan,
@@ -34,20 +34,20 @@
 
   /** Resolves when the caller has its answer and all that follows from it is done. */
   async run(): Promise<void> {
-    const calledOff = this.context.clock.after(this.call.deadlineMs, () => {
+    const cancelTimer = this.context.clock.after(this.call.deadlineMs, () => {
       this.expire();
     });
-    const unhooked = this.call.persistent ? () => undefined : this.stopOnHangUp();
+    const stopListening = this.call.persistent ? () => undefined : this.stopOnHangUp();
     try {
-      await this.admitted();
+      await this.runAdmitted();
     } finally {
-      calledOff();
-      unhooked();
+      cancelTimer();
+      stopListening();
     }
   }
 
-  private async admitted(): Promise<void> {
-    const permit = await this.context.admissions.of(this.call.service.service).admit(this.demand());
+  private async runAdmitted(): Promise<void> {
+    const permit = await this.context.admissions.of(this.call.service.service).admit(this.admissionRequest());
     if (permit.isErr()) {
       this.reply.fail(permit.error);
       return;
@@ -59,7 +59,7 @@
     }
   }
 
-  private demand(): AdmissionRequest {
+  private admissionRequest(): AdmissionRequest {
     const { customer, priority, deadlineMs, model } = this.call;
     const promptTokens = tokensOf(model?.prompt.bytes.length ?? 0);
     return { customer, priority, deadlineMs, promptTokens, signal: this.stop.signal };
@@ -83,7 +83,7 @@
   /** The deadline passed: the caller gets its final answer at once, whatever the gate is doing. */
   private expire(): void {
     if (this.stop.signal.aborted) return;
-    this.reply.fail(fault('deadline-exceeded', 'the deadline passed', { ran: this.attempts.known() }));
+    this.reply.fail(fault('deadline-exceeded', 'the deadline passed', { ran: this.attempts.runState() }));
     this.stop.abort();
   }
 }
--- a/scripts/guards/list.mjs
+++ b/scripts/guards/list.mjs
@@ -5,7 +5,7 @@
   {
     name: 'bound on the silence of a stream between entry and agent',
     file: 'packages/entry/src/gate/attempt.ts',
-    find: '      this.dropSilent(connection);\n      cut.abort();\n',
+    find: '      this.dropSilentConnection(connection);\n      controller.abort();\n',
     put: '',
     also: {
       file: 'packages/protocol/src/transport/peers.ts',
@@ -34,8 +34,8 @@
   {
     name: 'claim before the first byte',
     file: 'packages/entry/src/work/claimed.ts',
-    find: "if (verdict.type !== 'granted') return this.ungranted(verdict, sending);",
-    put: "if (verdict.type === 'refused' && verdict.fault.kind === 'claims-unavailable') return this.ungranted(verdict, sending);",
+    find: "if (result.type !== 'granted') return this.handleNotGranted(result, attempt);",
+    put: "if (result.type === 'refused' && result.fault.kind === 'claims-unavailable') return this.handleNotGranted(result, attempt);",
     spec: 'packages/proof/src/once',
     test: 'runs one of many equal orders',
   },
