--- a/packages/entry/src/claim/attemptId.ts
+++ b/packages/entry/src/claim/attemptId.ts
@@ -1,6 +1,6 @@
-/** Ids of attempts, which tell whose they are. */
+/** Attempt ids, which name the process that made them. */
 
-/** The process that started an attempt, and for which request. */
+/** The process that started an attempt, and the request it belongs to. */
 export interface AttemptOrigin {
   /** Name of the entry. */
   readonly entry: string;
@@ -9,10 +9,10 @@
   readonly requestId: string;
 }
 
-/** Occurs in none of the parts. */
+/** Separates the parts of an id; occurs in none of them. */
 const SEPARATOR = '~';
 
-/** Makes attempt ids that no other process and no other attempt of this one uses. */
+/** Generates attempt ids that are unique across processes. */
 export class AttemptIds {
   private count = 0;
 
@@ -27,7 +27,7 @@
   }
 }
 
-/** Reads an attempt id; undefined for one that no entry made. */
+/** Parses an attempt id; undefined if it is not one of an entry. */
 export function parseAttemptId(attemptId: string): AttemptOrigin | undefined {
   const [entry, incarnation, , requestId, ...rest] = attemptId.split(SEPARATOR);
   if (entry === undefined || requestId === undefined || rest.length > 0) return undefined;
@@ -35,7 +35,7 @@
   return { entry, incarnation: BigInt(incarnation), requestId };
 }
 
-/** Where an attempt was sent, as a claim notes it. */
+/** Where an attempt was sent, as recorded in its claim. */
 export interface ClaimHolder {
   /** Name of the agent's instance. */
   readonly agent: string;
@@ -43,12 +43,12 @@
   readonly incarnation: string;
 }
 
-/** Writes a holder into a claim. */
+/** Encodes a holder for a claim. */
 export function encodeHolder({ agent, incarnation }: ClaimHolder): string {
   return agent + SEPARATOR + incarnation;
 }
 
-/** Reads what `holderText` wrote. */
+/** Decodes what `encodeHolder` returned. */
 export function decodeHolder(text: string): ClaimHolder {
   const at = text.indexOf(SEPARATOR);
   if (at === -1) return { agent: text, incarnation: '' };
--- a/packages/entry/src/claim/claims.spec.ts
+++ b/packages/entry/src/claim/claims.spec.ts
@@ -49,10 +49,9 @@
 });
 
 describe('a call that may not be repeated', () => {
-  it('is answered again, and not run again, when it is resent at another entry', async () => {
-    // Symptom: a house is billed twice.
-    // Sequence: the answer is lost on its way to the caller, who sends the request again elsewhere.
-    // Cause: the second entry knows nothing of the first one's work.
+  // Guards against a second execution of a non-idempotent request. Its answer is lost on the way to the caller, who
+  // retries at another entry, and that entry has no record of the first execution.
+  it('is answered from the stored answer when it is retried at another entry', async () => {
     const one = await startGate();
     const claims = new FakeClaims();
     const [first, second] = [await startEntry([one], claims), await startEntry([one], claims, 'entry-2')];
@@ -66,7 +65,7 @@
     expect(one.runs).toHaveLength(1);
   });
 
-  it('is not sent at all while claims are out of reach', async () => {
+  it('is not sent at all while claims can not be stored', async () => {
     const one = await startGate();
     const claims = new FakeClaims();
     const { url } = await startEntry([one], claims);
@@ -115,7 +114,7 @@
     expect(await codeOf(answer)).toMatchObject({ code: 'key-reused', run: 'not-run' });
   });
 
-  it('is not run again after a break, and its resend is told so', async () => {
+  it('is not run again after a break, and its retry gets an error that says so', async () => {
     const one = await startGate();
     const { url, claims } = await startEntry([one], new FakeClaims());
     one.script = () => [accepted, sse, chunk(delta('a')), cut];
@@ -128,7 +127,7 @@
     expect(one.runs).toHaveLength(1);
   });
 
-  it('gives its key back when it is proved that it has not run', async () => {
+  it('releases its key when it is proven that it has not run', async () => {
     const [one, two] = [await startGate(), await startGate()];
     const { url, claims } = await startEntry([one, two], new FakeClaims());
     let runs = 0;
@@ -143,10 +142,10 @@
     await waitUntil(() => claims.claims.get('k1')?.answer !== undefined);
   });
 
-  it('finishes although its caller hung up, so that the resend gets the answer', async () => {
-    // Symptom: after a dropped call nobody can say whether the note was written.
-    // Sequence: the caller's connection breaks in the middle of the answer; it sends again.
-    // Cause: cancelling halfway leaves an outcome that nobody knows.
+  // Guards against an unknown outcome after a disconnect. The caller's connection breaks in the middle of the answer
+  // and the caller retries; cancelling the call at the disconnect would leave it unknown whether the request took
+  // effect.
+  it('finishes although its caller disconnected, so that the retry gets the answer', async () => {
     const one = await startGate();
     const { url, claims } = await startEntry([one], new FakeClaims());
     let finish: (value: unknown) => void = () => undefined;
@@ -176,7 +175,7 @@
     expect(one.runs).toHaveLength(1);
   });
 
-  it('says that an answer too large to keep has been given', async () => {
+  it('reports that it ran when its answer was too large to store', async () => {
     const one = await startGate();
     const { url, claims } = await startEntry([one], new FakeClaims());
     one.script = () => [accepted, head(200, 'application/json'), chunk(`"${'x'.repeat(300)}"`), end];
@@ -187,10 +186,9 @@
   });
 });
 
-it('takes its own claim for granted when the answer to it was lost on the way', async () => {
-  // Symptom: a call is refused as running although nobody runs it.
-  // Sequence: the claim is held, its answer is lost, and the claim is sent again to another instance.
-  // Cause: the resend finds the key taken by its own attempt.
+// Guards against a call that is refused as running although no attempt runs. The claim is stored but the response is
+// lost, so the claim request is sent again to another control instance and finds the key claimed by its own attempt.
+it('treats its own stored claim as granted when the response was lost', async () => {
   const one = await startGate();
   const claims = new FakeClaims();
   const { url } = await startEntry([one], claims);
@@ -205,17 +203,16 @@
 
 describe('a claim of an entry that is gone', () => {
   const abandonClaim = async (claims: FakeClaims, url: string): Promise<void> => {
-    // A first call lays the claim down with the fingerprint of this request, then the entry is gone.
+    // A first call stores the claim with the fingerprint of this request; then its entry is gone.
     await (await chat(url, {}, keyed)).text();
     await waitUntil(() => claims.claims.get('k1')?.state !== RUNNING);
     const claim = claims.claims.get('k1');
     if (claim !== undefined) Object.assign(claim, { state: RUNNING, answer: undefined });
   };
 
-  it('is answered from the agent, which still has the answer', async () => {
-    // Symptom: after a crash of the entry a caller is told "running" for as long as the window lasts.
-    // Sequence: the entry is killed while it passes on an answer; the caller sends again at another one.
-    // Cause: only the killed entry would have settled the claim.
+  // Guards against retries that are refused as running until the claim window ends. The entry is killed while it
+  // streams an answer, the caller retries at another entry, and only the killed entry would have settled the claim.
+  it('is answered with the answer that the agent still has', async () => {
     const one = await startGate();
     const claims = new FakeClaims();
     const { url } = await startEntry([one], claims);
@@ -230,7 +227,7 @@
     await waitUntil(() => claims.claims.get('k1')?.answer !== undefined);
   });
 
-  it('is taken over when the gate proves that nothing ran', async () => {
+  it('is taken over when the gate proves that the request did not run', async () => {
     const one = await startGate();
     const claims = new FakeClaims();
     const { url } = await startEntry([one], claims);
@@ -243,10 +240,9 @@
     expect(one.runs).toHaveLength(2);
   });
 
-  it('is left to run while its agent does not answer', async () => {
-    // Symptom: a resend ends the very work that it asks for.
-    // Sequence: the entry is gone, and the agent is slow to answer the entry that takes over.
-    // Cause: a cancellation that should only prove that nothing ran stops what runs.
+  // Guards against a retry that cancels the execution whose answer it asks for. The entry is gone and its agent is slow
+  // to answer the entry that takes over; a cancellation sent to prove "not run" would stop the running request.
+  it('is left running while its agent does not answer', async () => {
     const one = await startGate();
     const claims = new FakeClaims();
     const { url } = await startEntry([one], claims);
@@ -259,7 +255,7 @@
     expect(claims.claims.get('k1')?.state).toBe(RUNNING);
   });
 
-  it('stays unknown when the gate can not prove it', async () => {
+  it('has an unknown outcome when the gate can not prove that the request did not run', async () => {
     const one = await startGate();
     const claims = new FakeClaims();
     const { url } = await startEntry([one], claims);
--- a/packages/entry/src/claim/claims.ts
+++ b/packages/entry/src/claim/claims.ts
@@ -1,4 +1,7 @@
-/** At most once: claims on keys before the first byte goes to a target, and their settlement. */
+/**
+ * At-most-once execution: a claim on the call's key is acquired before the first byte goes to a target, and settled
+ * later.
+ */
 import { createHash } from 'node:crypto';
 import type { Result } from 'neverthrow';
 import { fault } from '@jasmineroute/core';
@@ -12,14 +15,14 @@
 import type { ClaimHolder } from './attemptId.js';
 import { Settler } from './settler.js';
 
-/** What is sent to take a claim. */
+/** Request to acquire a claim. */
 export type ClaimMessage = Omit<controlMessage.ClaimRequest, '$typeName'>;
-/** What is sent to settle one. */
+/** Request to settle a claim. */
 export type SettleMessage = Omit<controlMessage.SettleRequest, '$typeName' | 'answer'> & {
   readonly answer?: KeptAnswer;
 };
 
-/** Where claims are held: a quorum of control instances. */
+/** Store of the claims, replicated by a quorum of the control instances. */
 export interface ClaimStore {
   claim(request: ClaimMessage, timeoutMs: number): Promise<Result<controlMessage.ClaimResponse, Fault>>;
   settle(request: SettleMessage, timeoutMs: number): Promise<Result<unknown, Fault>>;
@@ -29,20 +32,20 @@
 export interface OrphanedAttempt {
   readonly attemptId: string;
   readonly requestId: string;
-  /** Agent and target's incarnation that the attempt was sent to. */
+  /** The agent, and the incarnation of its target, that the attempt was sent to. */
   readonly holder: ClaimHolder;
 }
 
-/** What became of asking for a key. */
+/** Result of trying to acquire a claim. */
 export type ClaimResult =
   | { readonly type: 'granted' }
-  /** The first attempt's answer. */
+  /** The call has run before; this is the stored answer. */
   | { readonly type: 'replay'; readonly answer: KeptAnswer }
-  /** The entry that holds the key is gone; the agent may know how the attempt went. */
+  /** The entry that holds the claim is gone; the agent may know the outcome of its attempt. */
   | ({ readonly type: 'orphan' } & OrphanedAttempt)
   | { readonly type: 'refused'; readonly fault: Fault };
 
-/** How a claimed attempt went. */
+/** Outcome of an attempt under a claim. */
 export type AttemptSettlement =
   | { readonly type: 'released' }
   | { readonly type: 'unknown' }
@@ -56,7 +59,7 @@
 
 const refused = (reason: Fault): ClaimResult => ({ type: 'refused', fault: reason });
 
-/** What a call's claim works with. */
+/** Dependencies of `Claims`. */
 export interface ClaimContext {
   readonly store: ClaimStore;
   readonly view: () => View;
@@ -66,12 +69,12 @@
   readonly timeoutMs: number;
 }
 
-/** Hash that tells whether a key comes again with the same request. */
+/** Hash that shows whether a key is reused for a different request. */
 export function fingerprintOf(call: Call): Uint8Array {
   return createHash('sha256').update(`${call.method} ${call.path}\n`).update(call.body).digest();
 }
 
-/** Takes and settles the claims of one entry. */
+/** Acquires and settles claims for one entry. */
 export class Claims {
   private readonly settler: Settler;
 
@@ -79,7 +82,7 @@
     this.settler = new Settler(context.clock, context.log);
   }
 
-  /** Asks for the call's key. */
+  /** Tries to acquire a claim on the call's key. */
   async acquire(call: Call, attemptId: string, holder: ClaimHolder): Promise<ClaimResult> {
     const { store, clock, metrics, timeoutMs } = this.context;
     const began = clock.monotonic();
@@ -97,13 +100,13 @@
     );
     metrics.timing(entryMetrics.claims, clock.monotonic() - began);
     if (answer.isOk()) return this.resultOf(answer.value, attemptId);
-    // The claim may be held although its answer was lost: without this the key would stay taken for nothing.
+    // The claim may have been stored although the response was lost. Without a release the key would stay claimed.
     if (answer.error.ran !== 'not-run') void this.settle(call, attemptId, { type: 'released' });
     const { message, retryAfterMs } = answer.error;
     return refused(fault('claims-unavailable', message, { ran: 'not-run', retryAfterMs }));
   }
 
-  /** Records how an attempt went, however long that takes. Resolves when recorded or given up. */
+  /** Records the outcome of an attempt, retrying as long as needed. Resolves when it is recorded or dropped. */
   settle(call: Call, attemptId: string, settlement: AttemptSettlement): Promise<void> {
     const { store, timeoutMs } = this.context;
     const message: SettleMessage = {
@@ -117,7 +120,7 @@
     return this.settler.settle({ attemptId, send: () => store.settle(message, timeoutMs) });
   }
 
-  /** Resolves when all outcomes are recorded, or after `ms`. */
+  /** Resolves when all outcomes are recorded, or after `ms` at the latest. */
   idle(ms: number): Promise<void> {
     return this.settler.idle(ms);
   }
@@ -131,18 +134,22 @@
       case controlMessage.ClaimState.DONE:
         return this.resultOfDone(answer);
       case controlMessage.ClaimState.MISMATCH:
-        return refused(fault('key-reused', 'the key was used for another request; this one has not run'));
+        return refused(
+          fault('key-reused', 'the key was already used for a different request; this one was not run'),
+        );
       case controlMessage.ClaimState.UNKNOWN:
       default:
         return refused(
-          fault('outcome-unknown', 'the first request with this key may have run; it is not run again'),
+          fault('outcome-unknown', 'the first request with this key may have run; it will not be run again'),
         );
     }
   }
 
   private resultOfDone({ answer }: controlMessage.ClaimResponse): ClaimResult {
     if (answer !== undefined) return { type: 'replay', answer };
-    return refused(fault('answer-not-kept', 'the first request with this key ran; its answer was not kept'));
+    return refused(
+      fault('answer-not-kept', 'the first request with this key ran; its answer was not stored'),
+    );
   }
 
   private resultOfRunning(
@@ -157,7 +164,7 @@
     return { type: 'orphan', attemptId, requestId: origin.requestId, holder: decodeHolder(agent) };
   }
 
-  /** Whether the process that holds a claim may still be at work. Only a newer start of it, or its end, says no. */
+  /** Whether the process that holds a claim may still be running it: false only if it was restarted or is down. */
   private mayBeRunning(entry: string, incarnation: bigint): boolean {
     const instance = this.context.view().instances.get(entry);
     if (instance === undefined) return false;
--- a/packages/entry/src/claim/settler.spec.ts
+++ b/packages/entry/src/claim/settler.spec.ts
@@ -7,10 +7,10 @@
   Promise.resolve(err(fault('claims-unavailable', 'no claim', { cause: new Error('silent') })));
 
 describe('outcomes of claimed calls', () => {
+  // Guards against a key that stays claimed, so that retries are refused as running long after the control instances
+  // are reachable again. They are unreachable for a minute when a call ends, and its outcome is dropped after a few
+  // tries.
   it('are sent until they are recorded', async () => {
-    // Symptom: a key stays taken, and resends are refused as running, long after control is back.
-    // Sequence: control is out of reach for a minute just when a call ends.
-    // Cause: the outcome was given up after a few tries.
     const clock = new ManualClock();
     const settler = new Settler(clock, silentLog);
     let reachable = false;
@@ -30,10 +30,9 @@
     expect(settler.size).toBe(0);
   });
 
-  it('are sent a few at a time', async () => {
-    // Symptom: control does not come back after a failure, because all entries call it all the time.
-    // Sequence: control is out of reach while thousands of calls end.
-    // Cause: each outcome is sent again and again by itself.
+  // Guards against control instances that can't recover from a failure because all entries keep calling them. Thousands
+  // of calls end while the control instances are unreachable, and each outcome is retried independently.
+  it('are sent with bounded concurrency', async () => {
     const clock = new ManualClock();
     const settler = new Settler(clock, silentLog);
     let sent = 0;
@@ -50,7 +49,7 @@
     expect(sent).toBeLessThan(200);
   });
 
-  it('are over when the control instances answer that the key is not held any more', async () => {
+  it('are not sent again when the control instances answer that the key is no longer held', async () => {
     const settler = new Settler(new ManualClock(), silentLog);
     await settler.settle({
       attemptId: 'a',
@@ -59,7 +58,7 @@
     expect(settler.size).toBe(0);
   });
 
-  it('hold a planned stop up for a stated time at most', async () => {
+  it('delay a planned shutdown for a bounded time', async () => {
     const clock = new ManualClock();
     const settler = new Settler(clock, silentLog);
     void settler.settle({ attemptId: 'a', send: unreachable });
--- a/packages/entry/src/claim/settler.ts
+++ b/packages/entry/src/claim/settler.ts
@@ -1,12 +1,12 @@
-/** Records outcomes of claimed attempts, however long the control instances are out of reach. */
+/** Records outcomes of claimed attempts, retrying while the control instances are unreachable. */
 import type { Result } from 'neverthrow';
 import type { Clock, Fault, Log } from '@jasmineroute/core';
 import { entryEvents } from '../events.js';
 
-/** One outcome to record. */
+/** An outcome to record. */
 export interface PendingSettlement {
   readonly attemptId: string;
-  /** Sends it once. */
+  /** Sends the outcome once. */
   readonly send: () => Promise<Result<unknown, Fault>>;
 }
 
@@ -14,23 +14,23 @@
   readonly onFinished: () => void;
 }
 
-/** Outcomes sent at once. */
+/** Maximum number of outcomes sent concurrently. */
 const MAX_WORKERS = 16;
-/** Outcomes that wait; past it the oldest is given up. */
+/** Maximum length of the queue; beyond it the oldest outcome is dropped. */
 const MAX_QUEUED = 20_000;
 const MIN_BACKOFF_MS = 250;
 const MAX_BACKOFF_MS = 5_000;
 
-/** Whether nothing more is to be sent: a fault without a cause is what the control instances answered themselves. */
+/** Whether no retry is needed: a fault without a cause is the answer of the control instances themselves. */
 function isFinal(result: Result<unknown, Fault>): boolean {
   return result.isOk() || result.error.cause === undefined;
 }
 
 /**
- * Sends outcomes until they are recorded. What goes wrong without the bounds: while the control instances
- * are out of reach every call leaves an outcome behind, and all of them sent again and again at once keep the
- * control instances from recovering. What goes wrong without the patience: an outcome that is given up
- * leaves its key taken, and the caller's resends are refused as running until the window ends.
+ * Sends outcomes until they are recorded. Concurrency and queue are bounded because every call leaves an outcome
+ * behind while the control instances are unreachable, and retrying all of them at once would keep the control
+ * instances from recovering. Retries do not end early because a dropped outcome leaves its key claimed: the caller's
+ * retries are then refused as already running until the claim window ends.
  */
 export class Settler {
   private readonly queue: QueuedSettlement[] = [];
@@ -43,12 +43,12 @@
     private readonly log: Log,
   ) {}
 
-  /** Outcomes that are not recorded yet. */
+  /** Number of outcomes that are not recorded yet. */
   get size(): number {
     return this.unrecorded;
   }
 
-  /** Takes an outcome over. Resolves when it is recorded or given up. */
+  /** Queues an outcome. Resolves when it is recorded or dropped. */
   settle(settlement: PendingSettlement): Promise<void> {
     this.unrecorded += 1;
     return new Promise((resolve) => {
@@ -59,7 +59,7 @@
     });
   }
 
-  /** Resolves when all outcomes are recorded, or after `ms`. */
+  /** Resolves when all outcomes are recorded, or after `ms` at the latest. */
   async idle(ms: number): Promise<void> {
     if (this.unrecorded === 0) return;
     let wake: () => void = () => undefined;
--- a/packages/entry/src/gate/attempt.ts
+++ b/packages/entry/src/gate/attempt.ts
@@ -1,4 +1,6 @@
-/** One attempt at a gate: its event stream, checked, and resumed when its connection breaks or goes silent. */
+/**
+ * One attempt at a gate: reads and checks its event stream, and resumes it when the connection breaks or goes silent.
+ */
 import type { Transport } from '@connectrpc/connect';
 import { fault } from '@jasmineroute/core';
 import type { Clock, Log, Metrics, Ran } from '@jasmineroute/core';
@@ -12,49 +14,52 @@
 import type { AttemptOutcome, StreamBreak } from './outcome.js';
 import { Watchdog } from './watchdog.js';
 
-/** Where an attempt's answer goes. Resolves when more can be taken. */
+/** Receives the answer of an attempt. A returned promise resolves when the sink can take more. */
 export interface AttemptSink {
   head(status: number, headers: readonly HeaderField[]): Promise<void> | void;
   chunk(bytes: Uint8Array): Promise<void> | void;
-  /** The stream lives but has nothing to say. */
+  /** A heartbeat came: the attempt is running without new output. */
   onHeartbeat(): void;
 }
 
-/** Bounds of an attempt, milliseconds. */
+/** Timeouts of an attempt, milliseconds. */
 export interface AttemptBounds {
   readonly streamSilenceMs: number;
   readonly resumeWindowMs: number;
 }
 
-/** What an attempt works with. */
+/** Dependencies of an attempt. */
 export interface AttemptContext {
   readonly clients: GateClients;
   readonly bounds: AttemptBounds;
-  /** Whether the request may be sent to another target once this one may have run it. */
+  /** Whether the request may be sent to another target even if this one may have run it. */
   readonly repeatable: boolean;
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
 }
 
-/** Pause between two tries to resume. */
+/** Delay between two attempts to resume a stream. */
 const RESUME_PAUSE_MS = 100;
 
-/** Opens a stream of events that ends when the signal aborts. */
+/** Opens an event stream that ends when the signal aborts. */
 type StreamOpener = (signal: AbortSignal) => AsyncIterable<gateMessage.RunEvent>;
 
-/** The gate may have the attempt and does not answer now: cancelling would end work that can still be asked for. */
+/**
+ * For a gate that does not answer but may have the attempt: cancelling could stop a run whose answer is still
+ * available later.
+ */
 const agentUnresponsive: AttemptOutcome = {
   type: 'failed',
-  fault: fault('already-running', 'the agent that has the first request does not answer now'),
+  fault: fault('already-running', 'the agent that got the first request with this key does not answer'),
 };
 
-/** Runs one attempt. Made for one use. */
+/** Runs one attempt. Each object is used once. */
 export class Attempt {
-  /** Ordinal of the event that comes next. */
+  /** Ordinal of the next expected event. */
   private nextOrdinal = 0n;
   private watchdog: Watchdog | undefined;
-  /** Another process started it. */
+  /** Whether another process started the attempt. */
   private isAttached = false;
 
   constructor(
@@ -65,7 +70,7 @@
     private readonly signal: AbortSignal,
   ) {}
 
-  /** Whether the gate took the attempt. */
+  /** Whether the gate accepted the attempt. */
   get accepted(): boolean {
     return this.nextOrdinal > 0n;
   }
@@ -93,7 +98,7 @@
   private async resumeStream(first: StreamBreak): Promise<AttemptOutcome> {
     const { clock, clients, bounds, metrics, log, repeatable } = this.context;
     let lastBreak = first;
-    // What the gate has not even accepted is better sent elsewhere than waited for.
+    // An idempotent request that the gate has not accepted is retried on another target without waiting.
     const initialWindowMs = repeatable && !this.accepted ? 0 : bounds.resumeWindowMs;
     let resumeUntil = clock.monotonic() + initialWindowMs;
     while (!this.stopped()) {
@@ -117,7 +122,7 @@
     return this.lostOutcome(lastBreak);
   }
 
-  /** The gate is gone or can't go on: asks what is proved, where a true "not run" hangs on it. */
+  /** The outcome of an attempt whose stream can't be resumed, with its proven run state. */
   private async lostOutcome(lastBreak: StreamBreak): Promise<AttemptOutcome> {
     this.context.log.event(entryEvents.streamLost, { ...this.ids(), reason: lastBreak.reason });
     if (this.isAttached && !cannotResume(lastBreak.error)) return agentUnresponsive;
@@ -126,8 +131,9 @@
   }
 
   /**
-   * What is proved of a lost attempt. One that may be repeated goes on elsewhere without waiting; its work here
-   * is cancelled. One that may not and was accepted is left to run: its end can still be asked for.
+   * The proven run state of a lost attempt. A repeatable attempt is cancelled without waiting for the response, since
+   * it is retried elsewhere. An accepted attempt that is not repeatable is left running, so that its answer can still
+   * be fetched.
    */
   private async provenRunState(): Promise<Ran> {
     const { clients, repeatable } = this.context;
@@ -140,11 +146,11 @@
     try {
       await this.context.clock.sleep(RESUME_PAUSE_MS, this.signal);
     } catch {
-      // Stopped: the caller of `pause` looks at the signal.
+      // Aborted: the caller checks the signal.
     }
   }
 
-  /** Follows one stream until its last event or a break, and cuts it when it goes silent. */
+  /** Reads one stream until its last event or a break, and aborts it when it goes silent. */
   private async followStream(
     connection: Transport,
     open: StreamOpener,
@@ -198,8 +204,8 @@
   }
 
   /**
-   * Reads a stream past its last event to its end. Cutting it instead would send a reset for each request,
-   * and the other side closes connections with many resets as an attack.
+   * Reads a stream past its last event to its end. Aborting it would send an HTTP/2 reset for each request, and the
+   * server closes connections with many resets to protect itself against rapid-reset attacks.
    */
   private async readToEnd(
     events: AsyncIterator<gateMessage.RunEvent>,
@@ -211,25 +217,25 @@
     try {
       while ((await events.next()).done !== true);
     } catch {
-      // The last event has come: how its stream closes is of no interest.
+      // The last event has arrived, so an error while closing the stream doesn't matter.
     } finally {
       cancelTimer();
     }
   }
 
-  /** Checks one event and passes it on. Returns a result when reading is over. */
+  /** Checks one event and forwards it to the sink. Returns a result when no more events are to be read. */
   private async handleEvent(
     message: gateMessage.RunEvent,
   ): Promise<AttemptOutcome | StreamBreak | undefined> {
     if (message.requestId !== this.request.requestId) return this.reportMismatch(message.requestId);
-    // A gap means that an event was lost on the way: what follows must not be passed on before it.
+    // An event was lost: later events must not be forwarded before it.
     if (message.ordinal > this.nextOrdinal) return { type: 'break', reason: 'gap' };
     const { event } = message;
     if (event.case === 'heartbeat') {
       this.sink.onHeartbeat();
       return undefined;
     }
-    // Sent again after a resume: the caller has it.
+    // A duplicate after a resume: the caller already has it.
     if (message.ordinal < this.nextOrdinal) return undefined;
     this.nextOrdinal += 1n;
     if (event.case === 'chunk') {
--- a/packages/entry/src/gate/client.ts
+++ b/packages/entry/src/gate/client.ts
@@ -1,25 +1,25 @@
-/** Calls to gates: the agents beside targets. */
+/** RPC clients for gates, the request services of the agents beside targets. */
 import { Code, ConnectError, createClient } from '@connectrpc/connect';
 import type { Client, Transport } from '@connectrpc/connect';
 import { gateMessage } from '@jasmineroute/protocol';
 import type { Peers } from '@jasmineroute/protocol';
 import type { Clock, Ran } from '@jasmineroute/core';
 
-/** The generated client of one gate. */
+/** RPC client of one gate. */
 export type GateRpc = Client<typeof gateMessage.Gate>;
 
-/** What a gate knows an attempt by. */
+/** Identifies an attempt at a gate. */
 export interface AttemptRef {
   readonly requestId: string;
   readonly attemptId: string;
-  /** The target's incarnation that the attempt was meant for: a later one can't prove that it never ran. */
+  /** Incarnation of the target that the attempt was sent to. A later one can't prove that the attempt never ran. */
   readonly incarnation: string;
 }
 
-/** What the entry needs of the connections to gates. */
+/** The part of `Peers` that the entry uses to connect to gates. */
 export type GatePeers = Pick<Peers, 'transport' | 'drop'>;
 
-/** How often a cancellation is sent when its answer does not come. */
+/** How many times a cancellation is sent when no response comes. */
 const MAX_CANCEL_TRIES = 2;
 
 const ranOf: Record<gateMessage.Ran, Ran> = {
@@ -29,12 +29,12 @@
   [gateMessage.Ran.RAN]: 'ran',
 };
 
-/** The run state that a gate's message states; anything unclear may have run. */
+/** Run state from a gate's message. An unspecified one counts as "may have run". */
 export function runState(ran: gateMessage.Ran): Ran {
   return ranOf[ran];
 }
 
-/** Whether a call failed before its connection stood, so that no byte of it has left. */
+/** Whether a call failed before its connection was established, so that no byte of it was sent. */
 export function neverSent(error: unknown): boolean {
   let cause: unknown = error;
   for (let depth = 0; depth < 5 && cause instanceof Error; depth += 1) {
@@ -46,12 +46,12 @@
 
 const notResumableCodes = new Set<Code>([Code.NotFound, Code.OutOfRange]);
 
-/** Whether a gate answered that it does not know an attempt, or has its next events no more. */
+/** Whether a gate answered that it does not know the attempt, or no longer has the requested events. */
 export function cannotResume(error: unknown): boolean {
   return error instanceof ConnectError && notResumableCodes.has(error.code);
 }
 
-/** Clients by connection; a dropped connection's client goes with it. */
+/** RPC clients of gates, one for each connection; a client is garbage-collected with its connection. */
 export class GateClients {
   private readonly clients = new WeakMap<Transport, GateRpc>();
 
@@ -61,12 +61,12 @@
     private readonly cancelTimeoutMs: number,
   ) {}
 
-  /** The connection to a gate as it stands now. */
+  /** The current connection to a gate. */
   connection(address: string): Transport {
     return this.peers.transport(address);
   }
 
-  /** The client over a connection. */
+  /** The client that uses a connection. */
   client(connection: Transport): GateRpc {
     const existing = this.clients.get(connection);
     if (existing !== undefined) return existing;
@@ -76,8 +76,9 @@
   }
 
   /**
-   * Cuts a connection that went silent, unless it was replaced already: streams that shared it find out one
-   * after the other, and the later ones must not cut the new one.
+   * Closes a connection that went silent, unless it was replaced already. Streams that share a connection detect the
+   * silence one after the other, and the later ones must not close the new connection.
+   * @returns whether the connection was closed.
    */
   drop(address: string, connection: Transport): boolean {
     if (this.peers.transport(address) !== connection) return false;
@@ -86,9 +87,9 @@
   }
 
   /**
-   * Stops an attempt and says what is proved of it. Without an answer it may have run. The gate records an
-   * attempt that it does not know, so a Run message still in flight is refused on arrival: only that makes
-   * "not run" true.
+   * Cancels an attempt and returns its proven run state; without a response it may have run. A gate records the
+   * cancellation even of an unknown attempt and so refuses a Run message that arrives later. Only this makes
+   * "not run" certain.
    */
   async cancel(address: string, attempt: AttemptRef): Promise<Ran> {
     for (let tries = 0; tries < MAX_CANCEL_TRIES; tries += 1) {
--- a/packages/entry/src/gate/watchdog.spec.ts
+++ b/packages/entry/src/gate/watchdog.spec.ts
@@ -3,10 +3,9 @@
 import { ManualClock } from '@jasmineroute/core';
 import { Watchdog } from './watchdog.js';
 
-it('does not count time in which the process itself stood still', () => {
-  // Symptom: all streams of an entry are cut and resumed at once, again and again, under load.
-  // Sequence: the process stands still for seconds; then its timers run before its sockets are read.
-  // Cause: what had arrived meanwhile was not heard yet.
+// Guards against a loop under load in which all streams of an entry are cut and resumed at once. After a stall of the
+// process, timers run before sockets are read, so events that have already arrived are not counted yet.
+it('does not count time in which the process was stalled', () => {
   let now = 0;
   let armed: { readonly at: number; readonly action: () => void } | undefined;
   const clock: Clock = {
@@ -33,7 +32,7 @@
   expect(silences).toBe(1);
 });
 
-it('bites after the stated silence, and not while nobody reads', async () => {
+it('reports the configured silence, but not while reading is paused', async () => {
   const clock = new ManualClock();
   let silences = 0;
   const watchdog = new Watchdog(clock, 100, () => {
--- a/packages/entry/src/gate/watchdog.ts
+++ b/packages/entry/src/gate/watchdog.ts
@@ -1,24 +1,24 @@
-/** Notices a stream that has gone silent. */
+/** Detects a stream that has gone silent. */
 import type { Cancellation, Clock } from '@jasmineroute/core';
 
-/** Lateness of a timer that says nothing, milliseconds. */
+/** Lateness of a timer that does not count as a stall of the process, milliseconds. */
 const TIMER_TOLERANCE_MS = 20;
 
 /**
- * Calls `bite` once nothing was heard for `silenceMs` while somebody listened. One timer for each stream,
- * not for each event: the hot path only notes the time.
+ * Calls `onSilence` when no event has arrived for `silenceMs` while the stream was being read. There is one timer for
+ * each stream, not for each event: the hot path only records the time.
  *
- * Time in which this process itself stood still does not count. After a long pause timers run before sockets
- * are read: every stream would look silent, all connections would be cut, and resuming all streams at once
- * would make the next pause.
+ * Time in which this process was stalled does not count. After a long stall, timers run before sockets are read, so
+ * every stream would look silent, all connections would be closed, and resuming all streams at once would cause the
+ * next stall.
  */
 export class Watchdog {
   private lastEventAt: number;
   private isReading = true;
   private cancelTimer: Cancellation = () => undefined;
-  /** Monotonic time at which the timer is due. */
+  /** Monotonic time at which the timer should run. */
   private dueAt = 0;
-  /** Milliseconds since `heardAt` in which nothing could be heard. */
+  /** Milliseconds since `lastEventAt` in which the process was stalled. */
   private stalledMs = 0;
 
   constructor(
@@ -30,18 +30,18 @@
     this.arm(silenceMs);
   }
 
-  /** Something came. */
+  /** Records that an event arrived. */
   reset(): void {
     this.lastEventAt = this.clock.monotonic();
     this.stalledMs = 0;
   }
 
-  /** Nobody reads for now, so silence says nothing. */
+  /** Suspends the check while the stream is not being read. */
   pause(): void {
     this.isReading = false;
   }
 
-  /** Reading goes on. */
+  /** Restarts the check when reading continues. */
   resume(): void {
     this.isReading = true;
     this.reset();
--- a/packages/entry/src/http/app.ts
+++ b/packages/entry/src/http/app.ts
@@ -40,7 +40,10 @@
   return app;
 }
 
-/** The routes as a listener of Node's HTTP server. `hostname` stands in for a missing Host field, which old health checks leave out; calls are checked for it. */
+/**
+ * The routes as a listener of Node's HTTP server. `hostname` stands in for a missing Host field, which old health
+ * checks leave out; calls are checked for it.
+ */
 export function listenerOf(app: Hono<{ Bindings: CallerBindings }>, hostname: string): RequestListener {
   const listener = getRequestListener(app.fetch, {
     overrideGlobalObjects: false,
--- a/packages/entry/src/work/admissions.ts
+++ b/packages/entry/src/work/admissions.ts
@@ -1,11 +1,11 @@
-/** Admission by service, under the documents in force. */
+/** Admission control for each service, following the current documents. */
 import { Admission } from '@jasmineroute/routing';
 import type { AdmissionRules, CustomerRules } from '@jasmineroute/routing';
 import type { Clock } from '@jasmineroute/core';
 import type { Instance, View } from '@jasmineroute/directory';
 import type { RoutedService } from '@jasmineroute/document';
 
-/** Customers' rules live as long as their document. */
+/** Cached customer rules. An entry is garbage-collected together with its document. */
 const customerRules = new WeakMap<RoutedService, ReadonlyMap<string, CustomerRules>>();
 
 function rulesOf(service: RoutedService): ReadonlyMap<string, CustomerRules> {
@@ -21,7 +21,7 @@
 const isServing = ({ role, health }: Instance): boolean =>
   role === 'entry' && (health === 'alive' || health === 'suspect');
 
-/** What admission needs of the instances; counted once for each picture of them. */
+/** Totals over the instances that admission needs; recomputed only when the view has a new map of instances. */
 interface InstanceCounts {
   readonly instances: View['instances'];
   readonly entries: number;
@@ -40,7 +40,7 @@
   return { instances, entries: Math.max(1, entries), capacity };
 }
 
-/** One admission for each service. */
+/** Creates and keeps one `Admission` for each service. */
 export class Admissions {
   private readonly admissions = new Map<string, Admission>();
   private counts: InstanceCounts = countInstances(new Map());
@@ -50,7 +50,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** The admission of a service. */
+  /** Admission control of a service, created on first use. */
   of(service: string): Admission {
     const existing = this.admissions.get(service);
     if (existing !== undefined) return existing;
--- a/packages/entry/src/work/attempts.ts
+++ b/packages/entry/src/work/attempts.ts
@@ -1,4 +1,4 @@
-/** The attempts of one call: placement, sending, retries, continuation elsewhere. */
+/** The attempts of one call: choice of a target, sending, retries, and continuation on another target. */
 import type { Result } from 'neverthrow';
 import { match } from 'ts-pattern';
 import { answerOf, endHop, fault, startHop } from '@jasmineroute/core';
@@ -20,7 +20,7 @@
 import type { FailureHandler, AttemptPlan, PlacedAttempt, NextAttempt, ActiveCall } from './plan.js';
 import { Sender } from './sender.js';
 
-/** Faults of a connection or of a target that is being replaced: the same target may do better soon. */
+/** Transient faults, of a connection or of a target that is being replaced: the same target may soon succeed. */
 const transientFaults: ReadonlySet<string> = new Set<FaultKind>([
   'target-unreachable',
   'target-lost',
@@ -33,17 +33,17 @@
 const SECOND_ROUND_DELAY_MS = 300;
 const RETRY_AFTER_MS = 1_000;
 
-/** Makes the attempts of one call, one after the other. */
+/** Makes the attempts of one call sequentially. */
 export class Attempts implements FailureHandler {
   private readonly excluded = new Set<string>();
   private readonly answer: Answer;
   private readonly sender: Sender;
   private readonly claimed: ClaimedSender;
   private attemptCount = 0;
-  /** What the attempts that are over have done. */
+  /** Combined run state of the finished attempts. */
   private ran: Ran = 'not-run';
   private lastFault: Fault | undefined;
-  /** The weights of the last attempt. */
+  /** The model version that the last attempt asked for. */
   private model: RequestedModel | undefined;
 
   constructor(
@@ -62,12 +62,12 @@
     this.claimed = new ClaimedSender(context, active, parts);
   }
 
-  /** What is known of the run at this moment. */
+  /** What is known now about whether a target ran the request. */
   runState(): Ran {
     return this.sender.busy ? combineRunStates(this.ran, 'may-have-run') : this.ran;
   }
 
-  /** Makes attempts until one gives the whole answer or no further one is allowed. */
+  /** Makes attempts until one gives the complete answer or no further attempt is allowed. */
   async run(): Promise<void> {
     this.context.budget.deposit();
     let step: NextAttempt = { body: this.active.call.body, tokens: 0 };
@@ -82,7 +82,7 @@
     const decide = startHop('decide', 'internal', { parent: span });
     const placed = await this.place(model, job);
     endHop(decide, placed.isErr() ? placed.error.kind : undefined);
-    // A caller that left while the process stood still is known to be gone some turns later.
+    // After a stall of the process, the event loop needs some turns to notice callers that disconnected meanwhile.
     await this.context.stalls.caughtUp();
     if (stop.aborted) return undefined;
     if (placed.isErr()) return this.fail(this.lastFault ?? placed.error);
@@ -96,7 +96,7 @@
     return call.idempotent ? this.sendRepeatable(attempt) : this.claimed.send(attempt);
   }
 
-  /** Chooses a target; when each one has failed in a way that passes, they are all tried once more. */
+  /** Chooses a target. When all have failed and the last fault is transient, they are all tried again after a delay. */
   private async place(model: RequestedModel | undefined, job: Job): Promise<Result<Placement, Fault>> {
     const { decisions, clock } = this.context;
     const { call, stop } = this.active;
@@ -108,7 +108,7 @@
     return decisions.place(call, model, job);
   }
 
-  /** The weights of the next attempt. An answer that has begun goes on with those that it began with. */
+  /** The model version for the next attempt. An answer that has started keeps the version that it started with. */
   private currentModel(): RequestedModel | undefined {
     const { call } = this.active;
     if (call.model === undefined) return undefined;
@@ -124,7 +124,7 @@
     return promptOf(call.path, plan.body).unwrapOr(call.model.prompt);
   }
 
-  /** An attempt of a call that may be repeated. */
+  /** Sends an attempt of an idempotent call. */
   private async sendRepeatable(attempt: PlacedAttempt): Promise<NextAttempt> {
     const outcome = await this.sender.send(attempt);
     return match(outcome)
@@ -145,7 +145,7 @@
       return problem === undefined ? undefined : this.retryOrFail(problem, attempt);
     }
     const problem = fault('engine-failed', `the target answered ${this.answer.targetStatus}`);
-    // Without another attempt the target's own error is the answer, unless a stream has begun already.
+    // Without another attempt, the target's own error is the answer, unless a stream to the caller has started.
     return this.retryOrFail(problem, attempt, () =>
       this.answer.hasStarted ? this.fail(problem) : this.finishAnswer(),
     );
@@ -182,7 +182,7 @@
   fail(problem: Fault): NextAttempt {
     this.ran = combineRunStates(this.ran, problem.ran);
     const { call, reply } = this.active;
-    // Another try helps where the request may be repeated and the fault may pass.
+    // The caller should retry only where the request is idempotent and the fault may be transient.
     const later = call.idempotent && answerOf(problem.kind).retryable ? RETRY_AFTER_MS : undefined;
     reply.fail({ ...problem, ran: this.ran, retryAfterMs: problem.retryAfterMs ?? later });
     return undefined;
--- a/packages/entry/src/work/background.ts
+++ b/packages/entry/src/work/background.ts
@@ -1,6 +1,6 @@
-/** Work that goes on after its caller was answered. */
+/** Tasks that continue after their caller was answered. */
 
-/** Counts tasks, so that a planned stop can wait for them. */
+/** Tracks tasks so that a planned shutdown can wait for them. */
 export class BackgroundTasks {
   private readonly tasks = new Set<Promise<void>>();
 
@@ -8,7 +8,7 @@
     return this.tasks.size;
   }
 
-  /** Follows a task; its errors go to `report`. */
+  /** Tracks a task until it settles and passes its error, if any, to `report`. */
   track(task: Promise<unknown>, report: (error: unknown) => void = () => undefined): void {
     const settled: Promise<void> = task.then(
       () => undefined,
@@ -20,7 +20,7 @@
     void settled.finally(() => this.tasks.delete(settled));
   }
 
-  /** Resolves when there is no task left. */
+  /** Resolves when no task is left. */
   async idle(): Promise<void> {
     while (this.tasks.size > 0) await Promise.all(this.tasks);
   }
--- a/packages/entry/src/work/claimed.ts
+++ b/packages/entry/src/work/claimed.ts
@@ -1,4 +1,4 @@
-/** Attempts of a call that may not be repeated: only under a claim that a quorum holds. */
+/** Attempts of a non-idempotent call, each sent only after a quorum has stored a claim on the call's key. */
 import { match } from 'ts-pattern';
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
@@ -10,14 +10,14 @@
 import type { FailureHandler, PlacedAttempt, NextAttempt, ActiveCall } from './plan.js';
 import type { Sender } from './sender.js';
 
-/** The parts of one call's work that a claimed attempt uses. */
+/** What `ClaimedSender` shares with the other attempts of the call. */
 export interface ClaimedParts {
   readonly sender: Sender;
   readonly answer: Answer;
   readonly failureHandler: FailureHandler;
 }
 
-/** Sends under a claim, and settles it. */
+/** Sends attempts under a claim and settles the claim. */
 export class ClaimedSender {
   constructor(
     private readonly context: EntryContext,
@@ -25,7 +25,7 @@
     private readonly parts: ClaimedParts,
   ) {}
 
-  /** Takes the claim, sends, and settles by what is proved. */
+  /** Acquires the claim, sends the attempt, and settles the claim by what is proven about the run. */
   async send(attempt: PlacedAttempt): Promise<NextAttempt> {
     const { candidate } = attempt.placement;
     const { attemptId } = attempt.ref;
@@ -63,7 +63,7 @@
       this.settle(attemptId, { type: 'unknown' });
       return failureHandler.fail(problem);
     }
-    // Proved not run: the key is free again, and another attempt takes it anew.
+    // Proven not to have run: the key is released, and the next attempt acquires a new claim.
     const step = failureHandler.retryOrFail(problem, attempt);
     const released = this.context.claims.settle(this.active.call, attemptId, { type: 'released' });
     if (step !== undefined) await this.unlessStopped(released);
@@ -96,7 +96,7 @@
     return undefined;
   }
 
-  /** The entry that held the claim is gone: asks the agent for the answer, or for what is proved. */
+  /** The entry that held the claim is gone: asks the agent for the answer, or at least for the run state. */
   private async takeOver(orphan: OrphanedAttempt, { plan }: PlacedAttempt): Promise<NextAttempt> {
     const { log, view, claims } = this.context;
     const { attemptId, requestId, holder } = orphan;
@@ -123,16 +123,16 @@
 
   private outcomeUnknown(attemptId: string): NextAttempt {
     this.settle(attemptId, { type: 'unknown' });
-    const message = 'the first request with this key may have run; it is not run again';
+    const message = 'the first request with this key may have run; it will not be run again';
     return this.parts.failureHandler.fail(fault('outcome-unknown', message));
   }
 
-  /** Goes on in the background; a planned stop waits for it. */
+  /** Settles in the background; a planned shutdown waits for it. */
   private settle(attemptId: string, settlement: AttemptSettlement): void {
     void this.context.claims.settle(this.active.call, attemptId, settlement);
   }
 
-  /** Waits for a task, but not past the end of the call. */
+  /** Waits for a task, but no longer than until the call is stopped. */
   private async unlessStopped(task: Promise<void>): Promise<void> {
     const { stop } = this.active;
     if (stop.aborted) return;
--- a/packages/entry/src/work/context.ts
+++ b/packages/entry/src/work/context.ts
@@ -1,4 +1,4 @@
-/** What the calls of one entry process share. */
+/** Dependencies that all calls of one entry process share. */
 import type { Clock, Log, Metrics, StallWatch } from '@jasmineroute/core';
 import type { View } from '@jasmineroute/directory';
 import type { RetryBudget } from '@jasmineroute/routing';
@@ -9,7 +9,7 @@
 import type { Decisions } from './decisions.js';
 import type { BackgroundTasks } from './background.js';
 
-/** Shared by all calls. */
+/** Dependencies and state shared by all calls of an entry. */
 export interface EntryContext {
   readonly settings: EntrySettings;
   readonly clients: GateClients;
--- a/packages/entry/src/work/decisions.ts
+++ b/packages/entry/src/work/decisions.ts
@@ -1,4 +1,4 @@
-/** Which target takes a call: candidates, policy, probes. */
+/** Chooses the target for a call from candidates, the routing policy and probes. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { fault } from '@jasmineroute/core';
@@ -17,11 +17,11 @@
 export interface Placement {
   readonly candidate: GateCandidate;
   readonly policy: Policy;
-  /** Gate to import KV cache from; empty: none. */
+  /** Address of the gate to import KV cache from; empty: none. */
   readonly importFrom: string;
 }
 
-/** What decisions are made with. */
+/** Dependencies and settings of `Decisions`. */
 export interface DecisionOptions {
   readonly view: () => View;
   readonly clients: GateClients;
@@ -32,7 +32,7 @@
   readonly seed: number;
 }
 
-/** Policy of plain services, which have no prompts to tell apart. */
+/** Policy of plain services: without prompts there is no cache affinity to consider. */
 const PLAIN_POLICY = 'least-outstanding';
 const FALLBACK_POLICY = 'default';
 
@@ -41,13 +41,13 @@
   readonly policy: Policy;
 }
 
-/** Decides for all services of one entry. */
+/** Chooses targets for all services of one entry. */
 export class Decisions {
   private readonly policyByService = new Map<string, NamedPolicy>();
 
   constructor(private readonly options: DecisionOptions) {}
 
-  /** Chooses a target. Refusals mean that nothing was sent. */
+  /** Chooses a target. A fault means that nothing was sent. */
   async place(call: Call, model: RequestedModel | undefined, job: Job): Promise<Result<Placement, Fault>> {
     const { view, clock, metrics } = this.options;
     const all = candidatesOf(call, model, view());
@@ -58,20 +58,20 @@
     const choice = await policy.choose(job, open);
     metrics.timing(entryMetrics.decision, clock.monotonic() - began);
     const candidate = open.find(({ name }) => name === choice.order[0]?.name);
-    if (candidate === undefined) return err(fault('no-target', 'no target takes work now'));
+    if (candidate === undefined) return err(fault('no-target', 'no target accepts requests now'));
     const importFrom = open.find(({ name }) => name === choice.importFrom)?.address ?? '';
     return ok({ candidate, policy, importFrom });
   }
 
   private noTargetFault(call: Call, excluded: number): Fault {
     const { service } = call.service;
-    if (excluded > 0) return fault('no-target', `no other target of ${service} can take the request`);
+    if (excluded > 0) return fault('no-target', `no further target of ${service} can run the request`);
     const instances = [...this.options.view().instances.values()];
     const ready = instances.some(
       ({ target, health }) => target?.service === service && target.ready && health === 'alive',
     );
     if (ready && call.model !== undefined) {
-      return fault('model-not-loaded', `no target of ${service} has this version of the model in memory`);
+      return fault('model-not-loaded', `no target of ${service} has this version of the model loaded`);
     }
     return fault('no-target', `no target of ${service} is ready`);
   }
--- a/packages/entry/src/work/job.ts
+++ b/packages/entry/src/work/job.ts
@@ -1,10 +1,14 @@
-/** What a policy may know of a call. */
+/** The description of a call that routing policies get. */
 import type { Prompt } from '@jasmineroute/engine';
 import { createChain, tokensOf } from '@jasmineroute/routing';
 import type { Job } from '@jasmineroute/routing';
 import type { Call, RequestedModel } from '../call/index.js';
 
-/** The job that a policy gets for a call. @param model the weights of this attempt. @param prompt the prompt of this attempt; absent: a plain service. */
+/**
+ * Describes a call for a routing policy.
+ * @param model model version of this attempt.
+ * @param prompt prompt of this attempt; undefined for a plain service.
+ */
 export function jobOf(
   call: Call,
   model: RequestedModel | undefined,
--- a/packages/entry/src/work/plan.ts
+++ b/packages/entry/src/work/plan.ts
@@ -1,4 +1,4 @@
-/** The shapes that the parts of one call's work share. */
+/** Types that the modules handling one call share. */
 import type { Fault, HopSpan, Ran } from '@jasmineroute/core';
 import type { Job } from '@jasmineroute/routing';
 import type { Call } from '../call/index.js';
@@ -6,28 +6,28 @@
 import type { Reply } from '../http/reply.js';
 import type { Placement } from './decisions.js';
 
-/** The call that attempts are made for. */
+/** A call in progress. */
 export interface ActiveCall {
   readonly call: Call;
   readonly reply: Reply;
   readonly span: HopSpan;
-  /** Aborts when the call is given up: the caller hung up, or the deadline passed. */
+  /** Aborts when the call is abandoned: the caller disconnected, or the deadline passed. */
   readonly stop: AbortSignal;
   /** Milliseconds until the deadline, at least 1. */
   readonly remaining: () => number;
 }
 
-/** What the next attempt asks for. */
+/** The request body of the next attempt. */
 export interface AttemptPlan {
   readonly body: Uint8Array;
-  /** Output tokens that the caller has. */
+  /** Output tokens that the caller already has. */
   readonly tokens: number;
 }
 
-/** What comes after an attempt: another one, or nothing. */
+/** What follows an attempt: another attempt, or nothing (undefined). */
 export type NextAttempt = AttemptPlan | undefined;
 
-/** One attempt at a chosen target. */
+/** One attempt on a chosen target. */
 export interface PlacedAttempt {
   readonly plan: AttemptPlan;
   readonly job: Job;
@@ -35,19 +35,19 @@
   readonly ref: AttemptRef;
 }
 
-/** What may follow an attempt that did not give the whole answer. */
+/** Decides what follows an attempt that did not give the complete answer. */
 export interface FailureHandler {
-  /** Goes on elsewhere where that is allowed, else gives up. */
+  /** Retries on another target where that is allowed; otherwise fails the call. */
   retryOrFail(problem: Fault, attempt: PlacedAttempt): NextAttempt;
-  /** Gives the caller the fault. */
+  /** Answers the caller with the fault. */
   fail(problem: Fault): NextAttempt;
-  /** Whether another attempt is allowed; takes it off the retry budget. */
+  /** Whether another attempt is allowed. If so, withdraws it from the retry budget. */
   mayRetry(kind: Fault['kind']): boolean;
 }
 
 const runStateRank: Record<Ran, number> = { 'not-run': 0, 'may-have-run': 1, ran: 2 };
 
-/** What is known of a request of which two attempts are known. */
+/** The run state of a request with two attempts: the one of them that is further from "not run". */
 export function combineRunStates(one: Ran, other: Ran): Ran {
   return runStateRank[one] >= runStateRank[other] ? one : other;
 }
--- a/packages/entry/src/work/reading.ts
+++ b/packages/entry/src/work/reading.ts
@@ -1,8 +1,8 @@
-/** Gate messages as routing reads them. */
+/** Converts messages of gates to the types of the routing library. */
 import type { gateMessage } from '@jasmineroute/protocol';
 import type { Load, ProbeReading } from '@jasmineroute/routing';
 
-/** A reported load. */
+/** Converts a reported load. */
 export function loadOf(load: gateMessage.Load | undefined): Load | undefined {
   if (load === undefined) return undefined;
   const { running, queued, queuedTokens, aheadTokens, prefillRate, tokenMs, capacity } = load;
@@ -19,7 +19,7 @@
   capacity: 0,
 };
 
-/** An answer to a probe. */
+/** Converts the response to a probe. */
 export function readingOf(answer: gateMessage.ProbeResponse): ProbeReading {
   return {
     engineIncarnation: answer.incarnation,
--- a/packages/entry/src/work/sender.ts
+++ b/packages/entry/src/work/sender.ts
@@ -1,4 +1,4 @@
-/** Sends the attempts of one call to gates. */
+/** Sends the attempts of one call to the gates of agents. */
 import { create } from '@bufbuild/protobuf';
 import { carrierOf, endHop, startHop } from '@jasmineroute/core';
 import type { Carrier, HopSpan, Ran } from '@jasmineroute/core';
@@ -25,12 +25,12 @@
     private readonly answer: Answer,
   ) {}
 
-  /** Whether a gate may have an attempt now. */
+  /** Whether an attempt is in flight. */
   get busy(): boolean {
     return this.isSending;
   }
 
-  /** Sends one attempt and follows it to its end; the policy learns of it. */
+  /** Sends one attempt, follows it to its end, and reports start, first token and end to the policy. */
   async send(placed: PlacedAttempt): Promise<AttemptOutcome> {
     const { clock, metrics } = this.context;
     const { placement, job } = placed;
@@ -60,12 +60,12 @@
     return outcome;
   }
 
-  /** Follows an attempt that another entry sent. */
+  /** Follows an attempt that another entry sent, from its first event. */
   attach(address: string, ref: AttemptRef): Promise<AttemptOutcome> {
     return this.followAttempt(address, ref, (attempt) => attempt.attach());
   }
 
-  /** Stops an attempt. @returns what is proved of it. */
+  /** Cancels an attempt. @returns its proven run state. */
   cancel({ placement, ref }: PlacedAttempt): Promise<Ran> {
     return this.context.clients.cancel(placement.candidate.address, ref);
   }
@@ -110,7 +110,7 @@
   }
 }
 
-/** Puts this hop's trace context in place of the caller's; without tracing the caller's passes on. */
+/** Replaces the caller's trace context with that of this hop. Without tracing, the caller's is forwarded. */
 function withTraceContext(headers: readonly HeaderField[], carrier: Carrier): HeaderField[] {
   const own = Object.entries(carrier).map(([name, value]) => ({ name, value }));
   if (own.length === 0) return [...headers];
--- a/packages/entry/src/work/work.ts
+++ b/packages/entry/src/work/work.ts
@@ -1,4 +1,4 @@
-/** One call from admission to the end of its answer. */
+/** Runs one call from admission to the end of its answer. */
 import { fault } from '@jasmineroute/core';
 import type { Cancellation, HopSpan } from '@jasmineroute/core';
 import { tokensOf } from '@jasmineroute/routing';
@@ -10,7 +10,7 @@
 import { Attempts } from './attempts.js';
 import type { EntryContext } from './context.js';
 
-/** The work on one call. Made for one use. */
+/** Runs one call. Each object is used once. */
 export class CallRun {
   private readonly stop = new AbortController();
   private readonly attempts: Attempts;
@@ -32,7 +32,7 @@
     });
   }
 
-  /** Resolves when the caller has its answer and all that follows from it is done. */
+  /** Resolves when the caller has its answer and the call's resources are released. */
   async run(): Promise<void> {
     const cancelTimer = this.context.clock.after(this.call.deadlineMs, () => {
       this.expire();
@@ -65,7 +65,7 @@
     return { customer, priority, deadlineMs, promptTokens, signal: this.stop.signal };
   }
 
-  /** A caller that hangs up wants no more of its answer: the target's work on it would be wasted. */
+  /** Cancels the call when its caller disconnects, because the target would generate output that nobody reads. */
   private stopOnHangUp(): Cancellation {
     const { hungUp } = this.reply;
     const stop = (): void => {
@@ -80,10 +80,14 @@
     };
   }
 
-  /** The deadline passed: the caller gets its final answer at once, whatever the gate is doing. */
+  /** Handles the deadline: the caller is answered at once, without waiting for the gate. */
   private expire(): void {
     if (this.stop.signal.aborted) return;
-    this.reply.fail(fault('deadline-exceeded', 'the deadline passed', { ran: this.attempts.runState() }));
+    this.reply.fail(
+      fault('deadline-exceeded', 'the deadline passed before the answer was complete', {
+        ran: this.attempts.runState(),
+      }),
+    );
     this.stop.abort();
   }
 }
