--- a/packages/entry/src/answer/answer.ts
+++ b/packages/entry/src/answer/answer.ts
@@ -1,4 +1,4 @@
-/** One caller's answer over all attempts: held back or streamed, whole or continued. */
+/** The answer to one caller, assembled from all attempts: buffered or streamed, and continued after a break. */
 import { fault } from '@jasmineroute/core';
 import type { Clock, Fault } from '@jasmineroute/core';
 import type { HeaderField } from '@jasmineroute/engine';
@@ -11,44 +11,44 @@
 import { readProgress } from './progress.js';
 import { EventRewriter } from './rewriter.js';
 
-/** Bounds of one answer. */
+/** Limits of one answer. */
 export interface AnswerBounds {
-  /** Plain answers up to this size are held back until whole. */
+  /** Answers that are not streamed are buffered until complete, up to this size in bytes. */
   readonly holdBytes: number;
-  /** Sent bytes that are kept, to continue the answer or to keep it for a resend. */
+  /** Maximum number of sent bytes kept to continue the answer on another target or to replay it for a retry. */
   readonly keepBytes: number;
-  /** Silence after which a streaming caller gets a comment, milliseconds. */
+  /** Time without output after which a streaming caller gets an SSE comment, milliseconds. */
   readonly pingMs: number;
 }
 
-/** A whole answer as it is kept for a resend. */
+/** A complete answer, stored to be replayed for retries with the same key. */
 export interface KeptAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: Uint8Array;
 }
 
-/** What a broken answer can do next. */
+/** How to proceed after an attempt broke. */
 export type Recovery =
-  /** Ask another target, with this body. */
+  /** Send this body to another target. */
   | { readonly type: 'ask'; readonly body: Uint8Array; readonly tokens: number }
-  /** The answer is whole already. */
+  /** The answer is already complete. */
   | { readonly type: 'whole' }
   | { readonly type: 'impossible' };
 
 const EVENT_STREAM = 'text/event-stream';
 const END_MARKER = 'data: [DONE]';
 
-/** Statuses of a target that another target may do better on. */
+/** Statuses of a target for which another target is tried. */
 const RETRY_STATUSES = new Set([500, 502, 503, 504]);
 
-/** Takes the events of a call's attempts, one attempt after the other, and writes one answer. */
+/** Receives the events of a call's attempts, one attempt after the other, and writes one answer. */
 export class Answer implements AttemptSink {
   private status = 0;
   private headers: readonly HeaderField[] = [];
   private streaming = false;
   private started = false;
-  /** Head of a later attempt that can't continue what was begun. */
+  /** Whether a later attempt has a head that can't continue the answer already started. */
   private isIncompatible = false;
   private failure: Fault | undefined;
   private holdBuffer: BoundedBuffer;
@@ -69,33 +69,33 @@
     this.keepBuffer = new BoundedBuffer(bounds.keepBytes);
   }
 
-  /** Monotonic time of the first body byte since `expectFirstChunk`. */
+  /** Monotonic time of the first body byte since `expectFirstChunk` was called. */
   get firstChunkAt(): number | undefined {
     return this.firstChunkTime;
   }
 
-  /** An attempt begins; calls back once when its first body byte comes. */
+  /** Called at the start of an attempt. `onFirstChunk` is called once, when the first body byte arrives. */
   expectFirstChunk(onFirstChunk: () => void): void {
     this.firstChunkTime = undefined;
     this.onFirstChunk = onFirstChunk;
   }
 
-  /** Whether any byte of the answer went to the caller. */
+  /** Whether any byte of the answer was sent to the caller. */
   get hasStarted(): boolean {
     return this.started;
   }
 
-  /** Whether the target answered that it failed, so that another one may be asked. */
+  /** Whether the target answered with an error for which another target may be tried. */
   get hasTargetError(): boolean {
     return this.isIncompatible || (!this.started && RETRY_STATUSES.has(this.status));
   }
 
-  /** Whether the end marker of a stream has gone out: whatever breaks now, the caller has its whole answer. */
+  /** Whether the end marker of a stream was sent: the caller has the complete answer even if the attempt breaks now. */
   get isEndMarkerSent(): boolean {
     return this.started && this.streaming && this.call.model !== undefined && this.endsWithMarker();
   }
 
-  /** The target's status, 0 before its head. */
+  /** Status of the target's answer; 0 before its head arrived. */
   get targetStatus(): number {
     return this.status;
   }
@@ -126,7 +126,7 @@
     this.reply.ping(this.bounds.pingMs);
   }
 
-  /** The last event of an attempt came. @returns a fault when the answer is not whole all the same. */
+  /** Completes the answer after the last event of an attempt. @returns a fault if the answer is incomplete. */
   finish(): Fault | undefined {
     const problem = this.checkComplete();
     if (problem !== undefined) return problem;
@@ -135,7 +135,9 @@
     return undefined;
   }
 
-  /** An attempt broke: what can be done so that the caller misses nothing and gets nothing twice. */
+  /**
+   * Decides how to proceed after an attempt broke, so that the caller neither misses nor repeatedly gets any output.
+   */
   recover(): Recovery {
     this.framer.discard();
     this.isIncompatible = false;
@@ -149,7 +151,7 @@
     return this.continueStream();
   }
 
-  /** The whole answer, when it is small enough to keep. */
+  /** The complete answer for storing; undefined if it is larger than `limit` bytes. */
   toKeptAnswer(limit: number): KeptAnswer | undefined {
     const bytes = this.keepBuffer;
     if (bytes.hasOverflowed || this.status === 0) return undefined;
@@ -201,7 +203,7 @@
     if (this.started) return this.reply.write(bytes);
     const all = this.holdBuffer.add(bytes);
     if (all === undefined) return undefined;
-    // Too large to hold: it goes out, and from here on a break can only cut the connection.
+    // Too large to buffer: what has arrived is sent. From now on a break can only reset the caller's connection.
     this.started = true;
     this.reply.head(this.status, this.headers, this.runState());
     return this.reply.write(Buffer.concat(all));
--- a/packages/entry/src/answer/boundary.ts
+++ b/packages/entry/src/answer/boundary.ts
@@ -1,14 +1,14 @@
-/** Holds back the part of an event stream that does not yet make a whole event. */
+/** Splits an event stream into complete events without changing its bytes. */
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 
-/** Largest event that is held back. */
+/** Maximum size of an incomplete event that is buffered, bytes. */
 export const MAX_EVENT_BYTES = 8 * 1024 * 1024;
 
 const noBytes = new Uint8Array(0);
 
-/** Index after the last blank line of `bytes`, or 0. */
+/** Offset after the last empty line, or 0. */
 function lastEventEnd(bytes: Uint8Array): number {
   for (let at = bytes.length - 1; at > 0; at -= 1) {
     if (bytes[at] !== LINE_FEED) continue;
@@ -19,18 +19,18 @@
 }
 
 /**
- * Passes on whole events only. A target can be lost inside an event: had its first half gone out, neither an
- * error event nor the rest of the answer from another target could follow it.
+ * Forwards complete events only. A target can be lost in the middle of an event. If the first half of it had been
+ * sent, neither an error event nor the rest of the answer from another target could follow.
  */
 export class EventFramer {
   private incomplete: Uint8Array = noBytes;
 
-  /** Bytes that wait for the end of their event. */
+  /** Number of buffered bytes of an incomplete event. */
   get pendingBytes(): number {
     return this.incomplete.length;
   }
 
-  /** Takes bytes and gives those up to the end of the last whole event, unchanged. */
+  /** Adds bytes and returns the complete events, unchanged. */
   push(bytes: Uint8Array): Uint8Array {
     const all = this.incomplete.length === 0 ? bytes : Buffer.concat([this.incomplete, bytes]);
     const end = lastEventEnd(all);
@@ -38,7 +38,7 @@
     return end === all.length ? all : all.subarray(0, end);
   }
 
-  /** Forgets the cut-off event. */
+  /** Discards the incomplete event. */
   discard(): void {
     this.incomplete = noBytes;
   }
--- a/packages/entry/src/answer/continuation.ts
+++ b/packages/entry/src/answer/continuation.ts
@@ -1,9 +1,9 @@
-/** The request that continues a broken answer on another target. */
+/** Builds the request that continues a broken answer on another target. */
 import * as z from 'zod';
 import type { Call } from '../call/index.js';
 import type { Progress } from './progress.js';
 
-/** Output tokens of a completion that states none, by the OpenAI-compatible API. */
+/** Default `max_tokens` of a completion in the OpenAI-compatible API. */
 const COMPLETION_TOKENS = 16;
 
 const message = z.looseObject({ role: z.string(), content: z.unknown().optional() });
@@ -21,7 +21,7 @@
 
 type Body = z.output<typeof continuableBody>;
 
-/** Fields with which the rest of an answer depends on more than the text so far. */
+/** Request fields that make the rest of an answer depend on more than the text generated so far. */
 const STATEFUL_FIELDS = [
   'echo',
   'suffix',
@@ -37,18 +37,18 @@
   'prompt_logprobs',
 ];
 
-/** What to do about a broken answer. */
+/** How a broken answer can be completed. */
 export type Continuation =
-  /** Ask another target for the rest. */
+  /** Another target generates the rest. */
   | { readonly type: 'ask'; readonly body: Uint8Array }
-  /** All tokens were sent, because the model finished or the limit is reached. */
+  /** All tokens were sent: the model finished, or the token limit is reached. */
   | { readonly type: 'complete'; readonly reason: 'finished' | 'length' }
-  /** The rest can't be asked for without the risk of a wrong answer. */
+  /** Generating the rest elsewhere could give a wrong answer. */
   | { readonly type: 'impossible' };
 
 const impossible: Continuation = { type: 'impossible' };
 
-/** How to go on with the answer to a call whose caller has `progress` of it. */
+/** Decides how to complete the answer to a call. @param progress the part of the answer that the caller has. */
 export function continuationOf(call: Call, progress: Progress): Continuation {
   if (!progress.isPlainText) return impossible;
   const parsed = continuableBody.safeParse(JSON.parse(Buffer.from(call.body).toString('utf8')));
@@ -109,7 +109,7 @@
   };
 }
 
-/** The body with its token limits lowered by what was sent. */
+/** The body with its token limits reduced by the number of tokens already sent. */
 function withReducedLimits(body: Body, tokens: number): Body {
   const next: Body = { ...body };
   if (typeof body.max_tokens === 'number') next.max_tokens = body.max_tokens - tokens;
--- a/packages/entry/src/answer/keeper.ts
+++ b/packages/entry/src/answer/keeper.ts
@@ -1,15 +1,18 @@
-/** Keeps what has passed, in bounded memory. */
+/** A byte buffer with a size limit. */
 
-/** Bytes that were taken, up to a bound; past it none are kept. */
+/** Collects bytes up to a limit. Beyond it, all are discarded and no more are collected. */
 export class BoundedBuffer {
   private parts: Uint8Array[] = [];
   private size = 0;
-  /** More came than the bound allows. */
+  /** Whether more bytes were added than the limit allows. */
   hasOverflowed = false;
 
   constructor(private readonly maxBytes: number) {}
 
-  /** Keeps bytes. @returns all of them, these too, when they are more than the bound: none are kept then. */
+  /**
+   * Adds bytes.
+   * @returns everything collected, including these bytes, when the limit is exceeded for the first time.
+   */
   add(bytes: Uint8Array): readonly Uint8Array[] | undefined {
     if (this.hasOverflowed) return undefined;
     this.size += bytes.length;
--- a/packages/entry/src/answer/progress.ts
+++ b/packages/entry/src/answer/progress.ts
@@ -1,8 +1,8 @@
-/** How far a streamed answer has come, read from the bytes that the caller has. */
+/** The progress of a streamed answer, parsed from the bytes sent to the caller. */
 import { createParser } from 'eventsource-parser';
 import * as z from 'zod';
 
-/** Data of the event that ends an answer. */
+/** Data of the event that ends a stream. */
 export const DONE_DATA = '[DONE]';
 
 const usage = z.looseObject({
@@ -18,7 +18,7 @@
   finish_reason: z.string().nullish(),
 });
 
-/** One event of a streamed answer, as far as it is read here. */
+/** One event of a streamed answer; only the fields used here. */
 export const chunkBody = z.looseObject({
   id: z.string().optional(),
   created: z.number().optional(),
@@ -31,27 +31,27 @@
 export type ChunkBody = z.output<typeof chunkBody>;
 export type ChunkChoice = z.output<typeof choice>;
 
-/** Where a streamed answer stands. */
+/** What the caller has of a streamed answer. */
 export interface Progress {
   /** Output text so far. */
   readonly text: string;
-  /** Output tokens so far: events with text. */
+  /** Output tokens so far, counted as events with text. */
   readonly tokens: number;
   /** Events so far. */
   readonly events: number;
   /** Whether events carry `id:` lines. */
   readonly hasEventIds: boolean;
-  /** Fields of the first event, which all events of one answer share. */
+  /** Fields of the first event that all events of an answer share. */
   readonly first: Pick<ChunkBody, 'id' | 'created' | 'model'>;
-  /** The caller has been told the role of the answer. */
+  /** Whether the role of the message was sent. */
   readonly roleSent: boolean;
-  /** The model finished; only what follows the last token is missing. */
+  /** Whether the model finished; at most the events after the last token are missing. */
   readonly finished: boolean;
-  /** The caller has the usage figures. */
+  /** Whether the usage figures were sent. */
   readonly usageSent: boolean;
-  /** The end marker was sent. */
+  /** Whether the end marker was sent. */
   readonly done: boolean;
-  /** Nothing but one choice of plain text came: only that can be continued. */
+  /** Whether the answer is one choice of plain text; only such an answer can be continued. */
   readonly isPlainText: boolean;
 }
 
@@ -67,7 +67,7 @@
 ]);
 const PLAIN_TEXT_FIELDS = new Set(['role', 'content']);
 
-/** Reads the events that were sent. Only done when a stream breaks: the hot path never parses. */
+/** Parses the events that were sent. Done only when a stream breaks, so that the hot path never parses. */
 export function readProgress(sent: readonly Uint8Array[]): Progress {
   const draft: MutableProgress = {
     text: '',
@@ -128,7 +128,7 @@
   );
 }
 
-/** Reads one event's data, or undefined when it is not one of this API. */
+/** Parses the data of one event; undefined if it is not a chunk of this API. */
 export function parseChunk(data: string): ChunkBody | undefined {
   try {
     const parsed = chunkBody.safeParse(JSON.parse(data));
--- a/packages/entry/src/answer/rewriter.ts
+++ b/packages/entry/src/answer/rewriter.ts
@@ -1,10 +1,10 @@
-/** Makes the events of a continued answer look like those of its first attempt. */
+/** Rewrites the events of a later attempt so that they continue the stream of the first one. */
 import { createParser } from 'eventsource-parser';
 import type { EventSourceMessage } from 'eventsource-parser';
 import { DONE_DATA, parseChunk } from './progress.js';
 import type { ChunkBody, Progress } from './progress.js';
 
-/** Writes events as the first attempt would have written them: ids, numbers, role and usage fit together. */
+/** Rewrites events as the first attempt would have sent them, with consistent ids, event numbers, role and usage. */
 export class EventRewriter {
   private readonly decoder = new TextDecoder();
   private readonly out: string[] = [];
@@ -20,13 +20,13 @@
     this.nextEventId = progress.events;
   }
 
-  /** Takes whole events and gives the rewritten ones. */
+  /** Rewrites complete events. */
   push(events: Uint8Array): Uint8Array {
     this.parser.feed(this.decoder.decode(events, { stream: true }));
     return Buffer.from(this.out.splice(0).join(''));
   }
 
-  /** The events that end an answer whose tokens were all sent. */
+  /** The final events of an answer whose tokens were all sent. */
   finalEvents(reason: 'finished' | 'length', chat: boolean): Uint8Array {
     if (reason === 'length') {
       const empty = chat ? { delta: {} } : { text: '' };
@@ -55,7 +55,7 @@
     this.out.push(`${id}${lines.join('')}\n`);
   }
 
-  /** @returns undefined when nothing of the event is left: the caller has been told the role already. */
+  /** @returns undefined if the event holds only the role, which was already sent. */
   private rewrite(body: ChunkBody): ChunkBody | undefined {
     const { first, tokens, roleSent } = this.progress;
     const next: ChunkBody = { ...body, ...withoutUndefined(first) };
@@ -77,7 +77,7 @@
   return { ...choice, delta };
 }
 
-/** Counts the text so far as output again: for the second target it was a part of the prompt. */
+/** Counts the text sent earlier as output, because the second target counted it as part of the prompt. */
 function correctUsage(
   usage: NonNullable<ChunkBody['usage']>,
   tokens: number,
--- a/packages/entry/src/call/call.ts
+++ b/packages/entry/src/call/call.ts
@@ -1,24 +1,24 @@
-/** A caller's request, checked against the documents in force. */
+/** A caller's request, before and after it is checked against the current documents. */
 import type { HeaderField, Prompt } from '@jasmineroute/engine';
 import type { Model, RoutedService } from '@jasmineroute/document';
 
-/** A request as it came, before documents were looked at. */
+/** A received request, before it is checked against the documents. */
 export interface CallerRequest {
-  /** Taken from the caller or made; echoed on the answer. */
+  /** Sent by the caller or generated; echoed in the answer. */
   readonly requestId: string;
   readonly method: string;
-  /** Path with query, as sent. */
+  /** Path with query, as received. */
   readonly path: string;
   readonly host: string | undefined;
   readonly headers: readonly HeaderField[];
-  /** Bearer key in the clear. */
+  /** Bearer key in plain text. */
   readonly key: string | undefined;
   readonly idempotencyKey: string | undefined;
-  /** Remaining milliseconds that the caller states. */
+  /** Remaining milliseconds until the caller's deadline. */
   readonly deadlineMs: number | undefined;
 }
 
-/** What a model call asks for. */
+/** The model that a call asks for, and the prompt. */
 export interface RequestedModel {
   readonly prompt: Prompt;
   readonly weights: Model;
@@ -26,26 +26,27 @@
   readonly adapter: string;
 }
 
-/** A request that may go to a target of its service. */
+/** A checked request that may be sent to a target of its service. */
 export interface Call {
   readonly requestId: string;
   readonly service: RoutedService;
-  /** Empty where the service asks for no customer. */
+  /** Empty where the service requires no customer. */
   readonly customer: string;
-  /** Larger runs first. */
+  /** Higher values run first. */
   readonly priority: number;
   readonly method: string;
   readonly path: string;
-  /** Fields for the target. */
+  /** Header fields forwarded to the target. */
   readonly headers: readonly HeaderField[];
   readonly body: Uint8Array;
   readonly deadlineMs: number;
   readonly idempotent: boolean;
-  /** The caller's key, or its request id: what a resend repeats. */
+  /** Identifies retries of the same request: the idempotency key, or else the request id. */
   readonly claimKey: string;
   /**
-   * Finishes although its caller hung up: what must not run again, and either can't be undone or will be asked
-   * for again, is of use only when its end is known.
+   * Whether the call continues after its caller disconnects. Set for non-idempotent calls that have an idempotency key
+   * or go to a plain service. They must not run again, and either a retry will ask for the answer or the effect can't
+   * be undone, so their outcome must become known.
    */
   readonly persistent: boolean;
   /** Model services only. */
--- a/packages/entry/src/call/candidates.spec.ts
+++ b/packages/entry/src/call/candidates.spec.ts
@@ -15,7 +15,7 @@
 }
 
 describe('a target is a candidate', () => {
-  it('when it is up, ready and has the very weights in memory', () => {
+  it('when it is up, ready and has exactly these weights loaded', () => {
     expect(names(loaded('1'))).toEqual(['a']);
     expect(names({ ...loaded('1'), health: 'suspect' })).toEqual(['a']);
   });
@@ -26,14 +26,13 @@
     expect(names(loaded('1', [], false))).toEqual([]);
   });
 
-  it('not with other weights than the document in force names', () => {
-    // Symptom: an answer from weights that were replaced.
-    // Sequence: a document with new weights is accepted; a target still has the old ones in memory.
-    // Cause: the name of the model is the same.
+  // Guards against an answer from replaced weights. A document with new weights is accepted while a target still has
+  // the old ones loaded under the same model name.
+  it('not with other weights than the current document names', () => {
     expect(names(loaded('0'))).toEqual([]);
   });
 
-  it('with an adapter only in the very version', () => {
+  it('with an adapter only in exactly the right version', () => {
     expect(names(loaded('1', ['lora@1']), 'm:lora')).toEqual([]);
     expect(names(loaded('1', ['lora@2']), 'm:lora')).toEqual(['a']);
   });
--- a/packages/entry/src/call/candidates.ts
+++ b/packages/entry/src/call/candidates.ts
@@ -1,9 +1,9 @@
-/** The targets that may take a call. */
+/** Finds the targets that can run a call. */
 import type { Candidate } from '@jasmineroute/routing';
 import type { Health, Instance, LoadedModel, View } from '@jasmineroute/directory';
 import type { Call, RequestedModel } from './call.js';
 
-/** A candidate and where its gate listens. */
+/** A candidate with the address of its gate. */
 export interface GateCandidate extends Candidate {
   /** host:port of the gate. */
   readonly address: string;
@@ -11,14 +11,15 @@
 
 const availableHealths: ReadonlySet<Health> = new Set(['alive', 'suspect']);
 
-/** Whether an instance stands beside a target of the service that is up, ready and not leaving. */
+/** Whether an instance serves a target of the service that is up, ready and not leaving. */
 export function isAvailable({ health, target }: Instance, service: string): boolean {
   return target?.service === service && availableHealths.has(health) && target.ready;
 }
 
 /**
- * Targets of the call's service that take work and have the model, the adapter and exactly the given weights in
- * memory. @param model absent: a plain service.
+ * Available targets of the call's service that have the model, the adapter and exactly this version of the weights
+ * loaded.
+ * @param model undefined for a plain service.
  */
 export function candidatesOf(call: Call, model: RequestedModel | undefined, view: View): GateCandidate[] {
   const found: GateCandidate[] = [];
--- a/packages/entry/src/call/header.ts
+++ b/packages/entry/src/call/header.ts
@@ -1,4 +1,4 @@
-/** Reads and checks the header fields of a caller's request. */
+/** Parses and validates the header fields of a caller's request. */
 import type { IncomingMessage } from 'node:http';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -17,7 +17,7 @@
 const BEARER = /^Bearer +([\x21-\x7e]{1,512})$/i;
 const DEADLINE = /^\d{1,9}$/;
 
-/** Fields that mean two things when sent twice: this process and a target could read different ones. */
+/** Fields that are ambiguous when repeated: this process and a target could use different values. */
 const SINGLE_FIELDS = new Set([
   'authorization',
   'content-length',
@@ -29,7 +29,7 @@
   IDEMPOTENCY_HEADER,
 ]);
 
-/** Fields that end here: of one connection, or for the entry itself. */
+/** Fields that are not forwarded: they belong to the connection or are meant for the entry. */
 const NOT_FORWARDED_FIELDS = new Set([
   'authorization',
   'connection',
@@ -47,7 +47,7 @@
   REQUEST_ID_HEADER,
 ]);
 
-/** The caller's request id if it is a valid one, else a fresh one. */
+/** The caller's request id if it is valid, otherwise a new one. */
 export function requestIdOf(incoming: IncomingMessage): string {
   const requestId = incoming.headers[REQUEST_ID_HEADER];
   return typeof requestId === 'string' && REQUEST_ID.test(requestId) ? requestId : newId('req');
@@ -60,7 +60,7 @@
   return typeof tracestate === 'string' ? { traceparent, tracestate } : { traceparent };
 }
 
-/** Checks the head of a request. */
+/** Parses and validates the head of a request. */
 export function readHead(incoming: IncomingMessage, requestId: string): Result<CallerRequest, Fault> {
   const fields = fieldsOf(incoming);
   const repeated = repeatedField(fields);
@@ -124,7 +124,7 @@
   return undefined;
 }
 
-/** Leaves out what ends here, and what the `Connection` field names. */
+/** The fields to forward, without those for the entry and those that the `Connection` field names. */
 function forwardedFields(fields: readonly HeaderField[], connection = ''): HeaderField[] {
   const named = new Set(connection.split(',').map((name) => name.trim().toLowerCase()));
   return fields.filter(({ name }) => !NOT_FORWARDED_FIELDS.has(name) && !named.has(name));
--- a/packages/entry/src/call/resolve.ts
+++ b/packages/entry/src/call/resolve.ts
@@ -1,4 +1,4 @@
-/** From a caller's request to a call of a service: route, customer, model, limits, deadline. */
+/** Resolves a caller's request to a call of a service: route, customer, model, limits and deadline. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { customerOf, nonIdempotentFor, priorityLevel } from '@jasmineroute/document';
@@ -11,11 +11,11 @@
 import type { Call, CallerRequest, RequestedModel } from './call.js';
 import { tablesOf } from './tables.js';
 
-/** What is known before the body is read. */
+/** A request whose head is checked and whose body is not yet read. */
 export interface ResolvedRequest {
-  /** Largest body that may come. */
+  /** Maximum size of the body. */
   readonly bodyBytes: number;
-  /** Finishes the check with the body. */
+  /** Completes the check with the body. */
   readonly complete: (body: Uint8Array) => Result<Call, Fault>;
 }
 
@@ -25,7 +25,7 @@
   return end === -1 ? request.path : request.path.slice(0, end);
 }
 
-/** Checks all that can be checked without the body, so that no stranger's body is held. */
+/** Checks all that can be checked without the body, so that bodies of unauthenticated callers are not buffered. */
 export function resolveRequest(request: CallerRequest, view: View): Result<ResolvedRequest, Fault> {
   if (promptPaths.includes(pathOf(request))) return resolveModelRequest(request, view);
   const service = tablesOf(view).routes.match(request.host, request.path);
@@ -33,7 +33,7 @@
   return resolvePlainRequest(request, service);
 }
 
-/** The models that a customer may call, each with its service. */
+/** The models that the customer of a request may call. */
 export function modelsFor(request: CallerRequest, view: View): Result<Model[], Fault> {
   const services = servicesOf(request, view);
   return services.map((found) => found.flatMap((service) => service.models));
@@ -53,12 +53,13 @@
   }));
 }
 
-/** The model services that the request's key opens. */
+/** The model services that the request's key may use. */
 function servicesOf(request: CallerRequest, view: View): Result<ModelService[], Fault> {
   const { key } = request;
-  if (key === undefined) return err(fault('unauthenticated', 'a bearer key is needed in Authorization'));
+  if (key === undefined)
+    return err(fault('unauthenticated', 'the Authorization header must hold a bearer key'));
   const services = tablesOf(view).modelServices.filter((service) => customerOf(service, key) !== undefined);
-  if (services.length === 0) return err(fault('unauthenticated', 'the bearer key is not known'));
+  if (services.length === 0) return err(fault('unauthenticated', 'the bearer key is unknown'));
   return ok(services);
 }
 
@@ -96,7 +97,12 @@
 function resolvePlainRequest(request: CallerRequest, service: PlainService): Result<ResolvedRequest, Fault> {
   const customer = request.key === undefined ? undefined : customerOf(service, request.key);
   if (service.authenticated && customer === undefined) {
-    return err(fault('unauthenticated', 'a bearer key of a customer of this service is needed'));
+    return err(
+      fault(
+        'unauthenticated',
+        'the Authorization header must hold a bearer key of a customer of this service',
+      ),
+    );
   }
   return ok({
     bodyBytes: service.limits.bodyBytes,
--- a/packages/entry/src/call/served.spec.ts
+++ b/packages/entry/src/call/served.spec.ts
@@ -13,24 +13,23 @@
 }
 
 describe('the weights that a call is served with', () => {
+  // Guards against refusing every request while the first target loads new weights. A document with a new version is
+  // accepted while all targets still have the old one, and only the document's version would be allowed to answer.
   it('are the old ones until a target has the new ones, and the new ones from then on', () => {
-    // Symptom: every request is refused for as long as the first target loads new weights.
-    // Sequence: a document with a new version is accepted; all targets still have the old one.
-    // Cause: only the document is asked which weights may answer.
     expect(served([loaded('a', '0'), loaded('b', '0')])).toEqual(['0', '']);
     expect(served([loaded('a', '1'), loaded('b', '0')])).toEqual(['1', '']);
   });
 
-  it('are those of most targets where several old ones are left', () => {
+  it('are those that most targets have while several old versions are loaded', () => {
     expect(served([loaded('a', '0'), loaded('b', '0.5'), loaded('c', '0')])).toEqual(['0', '']);
   });
 
-  it('come with the adapter in the version that is loaded', () => {
+  it('include the adapter in the version that is loaded', () => {
     expect(served([loaded('a', '0', ['lora@1'])], 'm:lora')).toEqual(['0', 'lora@1']);
     expect(served([loaded('a', '0', []), loaded('b', '1', ['lora@2'])], 'm:lora')).toEqual(['1', 'lora@2']);
   });
 
-  it('are the document’s own where no target has any', () => {
+  it('are those of the document if no target has the model loaded', () => {
     expect(served([])).toEqual(['1', '']);
   });
 });
--- a/packages/entry/src/call/served.ts
+++ b/packages/entry/src/call/served.ts
@@ -1,4 +1,4 @@
-/** The weights that a call is served with while a rollout of new ones is under way. */
+/** Selects the model version that serves a call during the rollout of a new one. */
 import type { LoadedModel, View } from '@jasmineroute/directory';
 import { isAvailable } from './candidates.js';
 import type { Call, RequestedModel } from './call.js';
@@ -12,10 +12,10 @@
 const keyOf = ({ version, adapter }: LoadedVersion): string => `${version} ${adapter}`;
 
 /**
- * The document's own weights as soon as one target has them ready; until then those that most ready targets
- * still have. Without this, a new version in the document would refuse every request until the first target has
- * loaded it: `model-not-loaded` for minutes while targets with the old weights stand idle. Chains carry the
- * version that is really used, so caches of two versions never mix.
+ * The version in the document as soon as one ready target has loaded it; until then the version that most ready targets
+ * have. Otherwise a new version in the document would fail every request with `model-not-loaded` for minutes, until the
+ * first target has loaded it, while targets with the old weights are idle. Hash chains include the version that is
+ * actually used, so that cached blocks of two versions never mix.
  */
 export function servedModel(call: Call, model: RequestedModel, view: View): RequestedModel {
   const wanted = { version: model.weights.version, adapter: model.adapter };
@@ -36,7 +36,7 @@
   };
 }
 
-/** What the ready targets of the call's service have of the model; one for each target. */
+/** The version of the model on each ready target of the call's service. */
 function loadedVersions(call: Call, model: RequestedModel, view: View): LoadedVersion[] {
   const builds: LoadedVersion[] = [];
   for (const instance of view.instances.values()) {
@@ -48,7 +48,7 @@
   return builds;
 }
 
-/** The wanted adapter in the version that is loaded; empty where none is wanted; undefined where it is missing. */
+/** The requested adapter in the version that is loaded; empty if none is requested; undefined if it is not loaded. */
 function loadedAdapter(loaded: LoadedModel, model: RequestedModel): string | undefined {
   if (model.adapter === '' || loaded.adapters.includes(model.adapter)) return model.adapter;
   return loaded.adapters.find((adapter) => adapter.startsWith(`${model.prompt.adapter}@`));
--- a/packages/entry/src/call/tables.ts
+++ b/packages/entry/src/call/tables.ts
@@ -1,20 +1,22 @@
-/** Lookup tables over one set of documents. */
+/** Lookup tables for a set of documents. */
 import { RouteTable } from '@jasmineroute/document';
 import type { Document, ModelService } from '@jasmineroute/document';
 import type { View } from '@jasmineroute/directory';
 
-/** Tables of one set of documents. */
+/** Lookup tables for a set of documents. */
 export interface ServiceTables {
   readonly routes: RouteTable;
-  /** By model name; no two services share one. */
+  /** Services by model name; no two services have a model of the same name. */
   readonly models: ReadonlyMap<string, ModelService>;
   readonly modelServices: readonly ModelService[];
 }
 
-/** Views replace their documents as a whole, so tables live as long as the documents do. */
+/**
+ * Cached tables. A view replaces its map of documents on every change, and the tables are garbage-collected with it.
+ */
 const tablesByDocuments = new WeakMap<View['documents'], ServiceTables>();
 
-/** The tables of a view, built once for each set of documents. */
+/** The tables for a view, built once for each map of documents. */
 export function tablesOf(view: View): ServiceTables {
   const cached = tablesByDocuments.get(view.documents);
   if (cached !== undefined) return cached;
