--- a/packages/entry/src/call/header.ts
+++ b/packages/entry/src/call/header.ts
@@ -105,20 +105,20 @@
   if (!fields.has('host')) return fault('invalid-request', 'header Host is missing');
   const id = fields.get(REQUEST_ID_HEADER);
   if (id !== undefined && !REQUEST_ID.test(id)) {
-    return fault('invalid-request', 'X-Request-Id takes 1 to 128 of letters, digits, ".", "_", ":" and "-"');
+    return fault('invalid-request', 'X-Request-Id must be 1 to 128 letters, digits, ".", "_", ":" or "-"');
   }
   const key = fields.get(IDEMPOTENCY_HEADER);
   if (key !== undefined && !IDEMPOTENCY_KEY.test(key)) {
     return fault(
       'invalid-request',
-      'Idempotency-Key takes 1 to 255 printable ASCII characters without spaces',
+      'Idempotency-Key must be 1 to 255 printable ASCII characters without spaces',
     );
   }
   const deadline = fields.get(DEADLINE_HEADER);
   if (deadline !== undefined && (!DEADLINE.test(deadline) || Number(deadline) === 0)) {
     return fault(
       'invalid-request',
-      'X-Request-Deadline-Ms takes the milliseconds that remain, 1 to 999999999',
+      'X-Request-Deadline-Ms must be the remaining milliseconds, 1 to 999999999',
     );
   }
   return undefined;
--- a/packages/entry/src/call/resolve.ts
+++ b/packages/entry/src/call/resolve.ts
@@ -40,7 +40,7 @@
 }
 
 function resolveModelRequest(request: CallerRequest, view: View): Result<ResolvedRequest, Fault> {
-  if (request.method !== 'POST') return err(fault('method-not-allowed', 'this path takes POST'));
+  if (request.method !== 'POST') return err(fault('method-not-allowed', 'this path accepts only POST'));
   const type = headerOf(request, 'content-type') ?? '';
   if (!/^application\/json(?:\s*;|$)/i.test(type)) {
     return err(fault('unsupported-media-type', 'the body must be application/json'));
--- a/packages/entry/src/claim/claims.spec.ts
+++ b/packages/entry/src/claim/claims.spec.ts
@@ -19,7 +19,7 @@
 
 const { RUNNING, DONE } = controlMessage.ClaimState;
 
-const worlds: TestEntry[] = [];
+const testEntries: TestEntry[] = [];
 const gates: FakeGate[] = [];
 const document = modelDocument({ nonIdempotent: [{ models: ['m'] }], claims: { answerBytes: 200 } });
 
@@ -34,7 +34,7 @@
   const instances = targets.map((one, index) => target(`agent-${index}`, one.address));
   const settings = { streamSilenceMs: 500, resumeWindowMs: 600 };
   const started = await startTestEntry([document], instances, settings, name, claims);
-  worlds.push(started);
+  testEntries.push(started);
   return started;
 }
 
@@ -44,7 +44,7 @@
 const whole = [accepted, sse, chunk(delta('a')), chunk(doneEvent), end];
 
 afterEach(async () => {
-  await Promise.all(worlds.splice(0).map((one) => one.close()));
+  await Promise.all(testEntries.splice(0).map((one) => one.close()));
   await Promise.all(gates.splice(0).map((one) => one.close()));
 });
 
--- a/packages/entry/src/claim/settler.spec.ts
+++ b/packages/entry/src/claim/settler.spec.ts
@@ -58,7 +58,7 @@
     expect(settler.size).toBe(0);
   });
 
-  it('delay a planned shutdown for a bounded time', async () => {
+  it('delay a planned stop for a bounded time', async () => {
     const clock = new ManualClock();
     const settler = new Settler(clock, silentLog);
     void settler.settle({ attemptId: 'a', send: unreachable });
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -1,4 +1,4 @@
-/** The entry role: callers in, decisions, streams out. */
+/** The entry role: accepts callers' requests, chooses targets and streams the answers. */
 import { ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { ConnectRouter } from '@connectrpc/connect';
@@ -18,9 +18,9 @@
 import { Admissions, BackgroundTasks, Decisions } from './work/index.js';
 import type { EntryContext } from './work/index.js';
 
-/** An entry in a process. */
+/** A running entry. */
 export interface EntryProcess extends RoleProcess {
-  /** host:port that callers reach; known after `start`. */
+  /** host:port of the listener for callers; available after `start`. */
   httpAddress(): string;
 }
 
@@ -31,22 +31,25 @@
   stop(): Promise<void>;
 }
 
-/** What an entry gets its knowledge and its claims from; tests give their own. */
+/** Directory and claim store of an entry; tests inject their own. */
 export interface EntryDependencies {
   readonly directory: EntryDirectory;
   readonly claims: ClaimStore;
 }
 
-/** Retries for each request, and how many may be saved up: enough for all streams of a lost target at once. */
+/**
+ * Retry budget: retries for each request, and the maximum saved up, enough to retry all streams of a lost target at
+ * once.
+ */
 const RETRY_SHARE = 0.2;
 const RETRY_BURST = 512;
 const GAUGE_INTERVAL_MS = 5_000;
-/** How long a planned stop waits for outcomes of claimed calls to be recorded, milliseconds. */
+/** Maximum time for which a planned stop waits until the outcomes of claimed calls are recorded, milliseconds. */
 const SETTLE_TIMEOUT_MS = 10_000;
-/** How long a planned stop waits for new connections to cease, milliseconds. */
+/** Maximum time for which a planned stop waits for new connections to cease, milliseconds. */
 const ACCEPT_WAIT_MS = 5_000;
 
-/** Makes the entry role. */
+/** Creates an entry. */
 export async function createEntry(
   context: RoleContext,
   settings: EntrySettings,
@@ -75,7 +78,7 @@
   return { directory, claims: store };
 }
 
-/** Seed from a name, so that two entries don't choose in step. */
+/** Derives a random seed from a name, so that entries do not make the same random choices. */
 export function seedOf(name: string): number {
   let seed = 0;
   for (const character of name) seed = (seed * 31 + (character.codePointAt(0) ?? 0)) >>> 0;
@@ -89,7 +92,10 @@
   private readonly stopped = new AbortController();
   private address = '';
   private draining = false;
-  /** Aborted at the start of a planned stop: neighbours that watch this entry move on. */
+  /**
+   * Aborted at the start of a planned stop, so that neighbours that subscribe to this entry's view switch to
+   * another one.
+   */
   private readonly leaving = new AbortController();
 
   constructor(
@@ -108,7 +114,7 @@
     this.server = new CallerServer(listenerOf(app, settings.httpHost), settings, clock, stalls, log);
   }
 
-  /** Serves its view to neighbours that can't reach a control instance. */
+  /** Serves this entry's view to neighbours that can't reach a control instance. */
   routes(router: ConnectRouter): void {
     serveDirectory(router, viewSource(this.parts.directory, this.context.clock, this.leaving.signal));
   }
@@ -133,7 +139,7 @@
     return { ready: true, reason: 'serving' };
   }
 
-  /** Unready first, then goes on accepting until the balancer has noticed, then finishes all that is open. */
+  /** Reports unready, keeps accepting requests until load balancers have noticed, then finishes all open requests. */
   async drain(): Promise<void> {
     const { clock, log } = this.context;
     this.draining = true;
--- a/packages/entry/src/gate/watchdog.spec.ts
+++ b/packages/entry/src/gate/watchdog.spec.ts
@@ -3,8 +3,8 @@
 import { ManualClock } from '@jasmineroute/core';
 import { Watchdog } from './watchdog.js';
 
-// Guards against a loop under load in which all streams of an entry are cut and resumed at once. After a stall of the
-// process, timers run before sockets are read, so events that have already arrived are not counted yet.
+// Guards against a loop under load in which all streams of an entry are closed and resumed at once. After a stall of
+// the process, timers run before sockets are read, so events that have already arrived are not counted yet.
 it('does not count time in which the process was stalled', () => {
   let now = 0;
   let armed: { readonly at: number; readonly action: () => void } | undefined;
--- a/packages/entry/src/http/app.ts
+++ b/packages/entry/src/http/app.ts
@@ -1,4 +1,4 @@
-/** The routes that callers and the platform see. */
+/** HTTP routes for callers and for the platform's health checks. */
 import type { RequestListener } from 'node:http';
 import { getRequestListener } from '@hono/node-server';
 import type { HttpBindings } from '@hono/node-server';
@@ -8,20 +8,20 @@
 import type { Readiness } from '@jasmineroute/protocol';
 import { errorBody } from './reply.js';
 
-/** Raw request and response of Node. */
+/** Node's raw request and response. */
 export type CallerBindings = HttpBindings;
 
-/** Answers one request with the raw response. */
+/** Answers one request by writing to the raw response. */
 export type RawHandler = (bindings: CallerBindings) => Promise<void>;
 
-/** What the routes lead to. */
+/** Handlers of the routes. */
 export interface AppHandlers {
   readonly readiness: () => Readiness;
   readonly models: RawHandler;
   readonly call: RawHandler;
 }
 
-/** Health for the platform, the list of models, and everything else as calls. */
+/** Routes for health checks and the list of models; every other request is a call. */
 export function createApp({ readiness, models, call }: AppHandlers): Hono<{ Bindings: CallerBindings }> {
   const app = new Hono<{ Bindings: CallerBindings }>();
   app.get('/healthz', (context) => context.json({ status: 'ok' }));
@@ -41,8 +41,8 @@
 }
 
 /**
- * The routes as a listener of Node's HTTP server. `hostname` stands in for a missing Host field, which old health
- * checks leave out; calls are checked for it.
+ * The routes as a request listener of Node's HTTP server.
+ * @param hostname used if the Host field is missing, as in old health checks. Calls without it are refused.
  */
 export function listenerOf(app: Hono<{ Bindings: CallerBindings }>, hostname: string): RequestListener {
   const listener = getRequestListener(app.fetch, {
--- a/packages/entry/src/http/badConnection.ts
+++ b/packages/entry/src/http/badConnection.ts
@@ -1,4 +1,4 @@
-/** Answers connections whose bytes are no valid request. */
+/** Error answers for connections whose bytes are not a valid request. */
 import { STATUS_CODES } from 'node:http';
 import type { Socket } from 'node:net';
 import { fault } from '@jasmineroute/core';
@@ -15,17 +15,17 @@
   HPE_HEADER_OVERFLOW: { status: 431, message: 'the head of the request is too large' },
   HPE_CHUNK_EXTENSIONS_OVERFLOW: { status: 413, message: 'the chunk extensions are too large' },
   ERR_HTTP_REQUEST_TIMEOUT: { status: 408, message: 'the request did not arrive in time' },
-  HPE_UNEXPECTED_CONTENT_LENGTH: { status: 400, message: 'the length of the body is stated twice' },
+  HPE_UNEXPECTED_CONTENT_LENGTH: { status: 400, message: 'the length of the body is given more than once' },
   HPE_INVALID_CONTENT_LENGTH: { status: 400, message: 'Content-Length is not valid' },
   HPE_INVALID_TRANSFER_ENCODING: { status: 400, message: 'Transfer-Encoding is not valid' },
 };
 
-/** The status that a parser's error is answered with. */
+/** Status of the answer to a parser error. */
 export function statusOfParserError(code: string | undefined): number {
   return (errorsByCode[code ?? ''] ?? malformed).status;
 }
 
-/** Writes one error and closes; nothing that follows on such a connection can be trusted. */
+/** Writes an error and closes the connection, because later bytes can't be parsed reliably. */
 export function refuseConnection(code: string | undefined, socket: Socket): void {
   const { status, message } = errorsByCode[code ?? ''] ?? malformed;
   const body = JSON.stringify(errorBody(fault('invalid-request', message)));
--- a/packages/entry/src/http/body.ts
+++ b/packages/entry/src/http/body.ts
@@ -1,4 +1,4 @@
-/** Reads request bodies, bounded one by one and in all. */
+/** Reads request bodies with a limit for each body and for all bodies together. */
 import type { IncomingMessage } from 'node:http';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -6,7 +6,7 @@
 import type { Fault } from '@jasmineroute/core';
 import { tooLarge } from '../call/index.js';
 
-/** Bytes of request bodies that one process holds. */
+/** Limits the total size of the request bodies that one process buffers. */
 export class BodyBudget {
   private usedBytes = 0;
 
@@ -16,7 +16,7 @@
     return this.usedBytes;
   }
 
-  /** Takes room for bytes; false when there is none. */
+  /** Reserves bytes. @returns false if the limit would be exceeded. */
   take(bytes: number): boolean {
     if (this.usedBytes + bytes > this.maxBytes) return false;
     this.usedBytes += bytes;
@@ -28,20 +28,20 @@
   }
 }
 
-/** A body that is held, and the way to give its room back. */
+/** A buffered body, and the function that releases its reserved bytes. */
 export interface HeldBody {
   readonly bytes: Uint8Array;
   readonly release: () => void;
 }
 
-/** Reads a whole body of at most `limit` bytes. */
+/** Reads a complete body of at most `limit` bytes. */
 export async function readBody(
   incoming: IncomingMessage,
   limit: number,
   budget: BodyBudget,
 ): Promise<Result<HeldBody, Fault>> {
-  const stated = Number(incoming.headers['content-length'] ?? 0);
-  if (stated > limit) return err(tooLarge(limit));
+  const contentLength = Number(incoming.headers['content-length'] ?? 0);
+  if (contentLength > limit) return err(tooLarge(limit));
   const parts: Buffer[] = [];
   let size = 0;
   const release = (): void => {
@@ -52,7 +52,7 @@
     for await (const part of incoming as AsyncIterable<Buffer>) {
       if (!budget.take(part.length)) {
         release();
-        return err(fault('overloaded', 'this entry holds too many request bodies'));
+        return err(fault('overloaded', 'this entry is buffering too many request bodies'));
       }
       size += part.length;
       if (size > limit) {
@@ -63,7 +63,7 @@
     }
   } catch (cause) {
     release();
-    return err(fault('invalid-request', 'the request broke off before its end', { cause }));
+    return err(fault('invalid-request', 'the connection closed before the request was complete', { cause }));
   }
   return ok({
     bytes: parts.length === 1 && parts[0] !== undefined ? parts[0] : Buffer.concat(parts),
--- a/packages/entry/src/http/callers.ts
+++ b/packages/entry/src/http/callers.ts
@@ -1,4 +1,4 @@
-/** Handles callers' requests: head, customer, body, then the work on the call. */
+/** Handles callers' requests: checks head and customer, reads the body, and runs the call. */
 import type { Result } from 'neverthrow';
 import { endHop, fault, startHop } from '@jasmineroute/core';
 import type { Fault, HopSpan } from '@jasmineroute/core';
@@ -15,7 +15,7 @@
 
 const MODELS_PATH = '/v1/models';
 
-/** The model that a path under `/v1/models` names. */
+/** The model named by a path under `/v1/models`. */
 function modelInPath(path: string): string | undefined {
   const name = path.replace(/[?#].*$/s, '').slice(MODELS_PATH.length + 1);
   if (name === '') return undefined;
@@ -40,12 +40,12 @@
     this.budget = new BodyBudget(context.settings.maxBufferedBytes);
   }
 
-  /** Requests in work. */
+  /** Number of requests in progress. */
   get openRequests(): number {
     return this.open;
   }
 
-  /** Bytes of request bodies held. */
+  /** Bytes of request bodies currently buffered. */
   get bufferedBytes(): number {
     return this.budget.bytes;
   }
@@ -105,7 +105,10 @@
     await new CallRun(this.context, call.value, reply, span).run();
   }
 
-  /** A refused request may still be sending its body: what follows on its connection can't be told from that. */
+  /**
+   * Refuses a request. If its body is still arriving, the connection is closed, since the rest of the body could be
+   * read as the next request.
+   */
   private refuse({ incoming }: CallerBindings, reply: Reply, problem: Fault): void {
     if (!incoming.complete) reply.header('connection', 'close');
     reply.fail(problem);
--- a/packages/entry/src/http/drain.spec.ts
+++ b/packages/entry/src/http/drain.spec.ts
@@ -7,7 +7,7 @@
 import type { TestEntry } from '../testing/world.js';
 
 const gates: FakeGate[] = [];
-let world: TestEntry | undefined;
+let testEntry: TestEntry | undefined;
 
 async function start(
   script: () => ScriptStep[],
@@ -17,8 +17,8 @@
   await gate.start();
   gates.push(gate);
   gate.script = script;
-  world = await startTestEntry([modelDocument()], [target('agent', gate.address)], settings);
-  return { ...world, gate };
+  testEntry = await startTestEntry([modelDocument()], [target('agent', gate.address)], settings);
+  return { ...testEntry, gate };
 }
 
 function createLatch(): { readonly step: ScriptStep; readonly open: () => void } {
@@ -35,15 +35,14 @@
 }
 
 afterEach(async () => {
-  await world?.close();
+  await testEntry?.close();
   await Promise.all(gates.splice(0).map((one) => one.close()));
 });
 
 describe('a planned stop', () => {
-  it('is unready first, goes on accepting, and finishes every stream', async () => {
-    // Symptom: a rolling restart cuts requests.
-    // Sequence: the process is told to stop while a stream runs and the balancer still sends new requests.
-    // Cause: a listener that closes before the balancer has noticed refuses what is on its way.
+  // Guards against a rolling restart that fails requests. The stop begins while a stream runs and the load balancer
+  // still sends new requests; a listener that closes before the balancer has noticed refuses them.
+  it('reports unready first, keeps accepting, and finishes every stream', async () => {
     const latch = createLatch();
     const { url, entry, directory } = await start(
       () => [accepted, sse, chunk(delta('a')), latch.step, chunk(doneEvent), end],
@@ -65,10 +64,9 @@
     await expect(fetch(`${url}/healthz`)).rejects.toThrow();
   });
 
-  it('does not wait for a connection whose stream began before it', async () => {
-    // Symptom: a planned stop takes as long as idle connections are held.
-    // Sequence: a stream begins, the stop begins, the stream ends; its connection could be used again.
-    // Cause: its head went out before it could say that the connection closes.
+  // Guards against a stop that lasts until the keep-alive timeout. A stream starts before the stop and ends
+  // during it; its head was sent too early to carry `Connection: close`, so the connection stays open for reuse.
+  it('does not wait for a connection whose stream started before it', async () => {
     const latch = createLatch();
     const script = [accepted, sse, chunk(delta('a')), latch.step, chunk(doneEvent), end];
     const { url, entry, directory } = await start(() => script, { streamSilenceMs: 20_000 });
@@ -85,7 +83,7 @@
     await waitUntil(() => text !== '');
     const drained = entry.drain();
     await waitUntil(() => directory.left);
-    // Past the time in which the stopping entry waits for last connections: its listener is closed.
+    // Longer than the draining server waits for new connections, so that its listener is closed.
     const since = performance.now();
     await waitUntil(() => performance.now() - since > 800);
     latch.open();
@@ -111,10 +109,9 @@
 });
 
 describe('a slow reader', () => {
-  it('holds up its own target with bounded memory and nobody else', async () => {
-    // Symptom: one caller that reads slowly makes the entry grow, or others stand still.
-    // Sequence: a caller stops reading a long stream; another one streams from the same target.
-    // Cause: both streams share one connection to the gate.
+  // Guards against one slow caller that makes the entry's memory grow or blocks other callers. A caller stops reading a
+  // long stream while another one streams from the same target, and both streams share a connection to the gate.
+  it('slows down only its own stream, with bounded memory', async () => {
     const length = 1_000;
     let taken = 0;
     const count: ScriptStep = {
@@ -145,7 +142,7 @@
     });
     expect(taken).toBeLessThan(length);
     expect(await (await chat(url)).text()).toBe(delta('quick') + doneEvent);
-    // Longer than the bound on silence: a stream that is not read is not a silent one.
+    // Longer than `streamSilenceMs`: a stream that is not being read must not count as silent.
     const since = performance.now();
     await waitUntil(() => performance.now() - since > 700);
     let text = '';
@@ -158,10 +155,9 @@
     slow.destroy();
   });
 
-  it('is cut when it takes nothing for too long', async () => {
-    // Symptom: an entry holds streams for callers that are long gone.
-    // Sequence: the connection to a caller goes silent in the middle of an answer.
-    // Cause: nothing ever closes such a connection; only bytes that are not taken show it.
+  // Guards against streams that are kept for callers that are long gone. A connection to a caller goes silent in the
+  // middle of an answer without being closed; only the unread bytes reveal it.
+  it('is disconnected when it reads nothing for too long', async () => {
     const many = Array.from({ length: 1_000 }, () => chunk(delta('x'.repeat(8_000))));
     const { gate, entry } = await start(() => [accepted, sse, ...many, chunk(doneEvent), end], {
       callerStallMs: 200,
@@ -187,7 +183,7 @@
 });
 
 describe('a quiet stream', () => {
-  it('tells its caller by comments that it lives', async () => {
+  it('sends comments to show its caller that it is alive', async () => {
     const heartbeat: ScriptStep[] = [
       { case: 'pause', ms: 60 },
       { case: 'heartbeat', value: {} },
--- a/packages/entry/src/http/reply.ts
+++ b/packages/entry/src/http/reply.ts
@@ -1,11 +1,11 @@
-/** The caller's side of one answer, written with the raw response of Node. */
+/** One answer to a caller, written to Node's raw response. */
 import { once } from 'node:events';
 import type { ServerResponse } from 'node:http';
 import { answerOf } from '@jasmineroute/core';
 import type { Clock, Fault, Ran } from '@jasmineroute/core';
 import type { HeaderField } from '@jasmineroute/engine';
 
-/** The error object of the OpenAI-compatible API, with the code and the run state of this product. */
+/** The error object of the OpenAI-compatible API, with a fault kind as code and the run state. */
 export interface ErrorBody {
   readonly error: {
     readonly message: string;
@@ -22,7 +22,7 @@
   return { error: { message: fault.message, type, code: fault.kind, param: null, run: fault.ran } };
 }
 
-/** Header fields that belong to one connection or that this process writes itself. */
+/** Fields of a target's answer that are not forwarded: they belong to one connection or are written by this process. */
 const OMITTED_FIELDS = new Set([
   'connection',
   'keep-alive',
@@ -37,12 +37,12 @@
   'date',
 ]);
 
-/** How an answer stands. */
+/** State of an answer. */
 export type ReplyState = 'open' | 'started' | 'finished' | 'gone';
 
 const SSE_COMMENT = ': ping\n\n';
 
-/** One answer to a caller. Every method is harmless once the caller is gone. */
+/** One answer to a caller. Every method does nothing once the caller has disconnected. */
 export class Reply {
   private readonly hangUp = new AbortController();
   private readonly startedAt: number;
@@ -50,7 +50,7 @@
   private fault: Fault | undefined;
   private wasCut = false;
   private firstWriteAt: number | undefined;
-  /** Monotonic time of the last byte written. */
+  /** Monotonic time of the last write. */
   private lastWriteAt = 0;
 
   constructor(
@@ -69,7 +69,7 @@
     });
   }
 
-  /** Aborts when the caller hangs up, or takes nothing for too long, before the answer is whole. */
+  /** Aborts when the caller disconnects, or reads nothing for too long, before the answer is complete. */
   get hungUp(): AbortSignal {
     return this.hangUp.signal;
   }
@@ -80,27 +80,27 @@
     return this.response.headersSent ? 'started' : 'open';
   }
 
-  /** Whether the caller was cut because it took nothing. */
+  /** Whether the connection was closed because the caller read nothing. */
   get stalled(): boolean {
     return this.wasCut;
   }
 
-  /** The fault that ended the answer, if one did. */
+  /** The fault that ended the answer, if any. */
   get failure(): Fault | undefined {
     return this.fault;
   }
 
-  /** Status that was sent, or 0. */
+  /** The status sent, or 0. */
   get status(): number {
     return this.response.headersSent ? this.response.statusCode : 0;
   }
 
-  /** Whether the head went out and the answer is a stream of events. */
+  /** Whether the answer is an event stream whose head was written. */
   get streaming(): boolean {
     return this.isEventStream;
   }
 
-  /** Milliseconds since the request came. */
+  /** Milliseconds since the request arrived. */
   elapsedMs(): number {
     return this.clock.monotonic() - this.startedAt;
   }
@@ -110,12 +110,12 @@
     return this.firstWriteAt === undefined ? undefined : this.firstWriteAt - this.startedAt;
   }
 
-  /** Sets one header field of an answer that has not begun. */
+  /** Sets one header field, if the head was not sent yet. */
   header(name: string, value: string): void {
     if (this.state === 'open') this.response.setHeader(name, value);
   }
 
-  /** Begins an answer with a target's head. `ran` is what is known of the run now. */
+  /** Starts an answer with a target's head. @param ran run state at this point. */
   head(status: number, headers: readonly HeaderField[], ran: Ran): void {
     if (this.state !== 'open') return;
     for (const { name, value } of headers) this.appendField(name.toLowerCase(), value);
@@ -127,8 +127,9 @@
   }
 
   /**
-   * Writes body bytes and gives what to wait for until the caller takes more. A caller that takes nothing for the stall
-   * bound is cut: its connection may have gone silent, and nothing else would ever free what it holds.
+   * Writes body bytes. The returned promise, if any, resolves when the caller can take more. The connection of a caller
+   * that reads nothing for `stallMs` is closed: it may be dead without a reset, and nothing else would ever release its
+   * resources.
    */
   write(bytes: Uint8Array): Promise<void> | undefined {
     if (this.state !== 'started' || bytes.length === 0) return undefined;
@@ -137,7 +138,7 @@
     return this.response.write(bytes) ? undefined : this.waitForDrain();
   }
 
-  /** Sends an SSE comment when the stream has been quiet for `quietMs`, so that the caller knows it lives. */
+  /** Sends an SSE comment if nothing was written for `quietMs`, so that the caller sees that the stream is alive. */
   ping(quietMs: number): void {
     if (!this.isEventStream || this.state !== 'started' || this.response.writableNeedDrain) return;
     if (this.clock.monotonic() - this.lastWriteAt < quietMs) return;
@@ -145,12 +146,12 @@
     this.response.write(SSE_COMMENT);
   }
 
-  /** Ends a whole answer. */
+  /** Ends a complete answer. */
   end(): void {
     if (this.state === 'started') this.response.end();
   }
 
-  /** Sends a whole answer at once. */
+  /** Sends a complete answer at once. */
   send(status: number, headers: readonly HeaderField[], body: Uint8Array, ran: Ran): void {
     if (this.state !== 'open') return;
     const fields = headers.filter(({ name }) => name.toLowerCase() !== 'content-length');
@@ -160,9 +161,8 @@
   }
 
   /**
-   * Reports a fault: as an error answer while nothing was sent, as an error event without the end marker in
-   * a stream, and by cutting the connection in any other answer that has begun, because its end would look
-   * like the end of a whole one.
+   * Reports a fault: with an error answer if nothing was sent yet, with an error event without the end marker in a
+   * stream, and otherwise by resetting the connection, because a normal end would look like a complete answer.
    */
   fail(fault: Fault): void {
     if (this.state === 'finished' || this.state === 'gone') return;
@@ -172,14 +172,14 @@
       return;
     }
     if (!this.isEventStream) {
-      // A reset, not an end: without a stated length an old client takes the end for that of the answer.
+      // A reset rather than a close: without a Content-Length, old clients treat a close as the end of the answer.
       this.response.socket?.resetAndDestroy();
       return;
     }
     this.response.end(`data: ${JSON.stringify(errorBody(fault))}\n\n`);
   }
 
-  /** A field that is not valid is left out: Node throws on it, and the rest of the answer is good. */
+  /** Appends a field. An invalid field, on which Node throws, is omitted, since the rest of the answer is valid. */
   private appendField(name: string, value: string): void {
     if (OMITTED_FIELDS.has(name)) return;
     if (name === 'content-type' && value.startsWith('text/event-stream')) this.isEventStream = true;
@@ -208,7 +208,7 @@
     try {
       await once(this.response, 'drain', { signal: this.hangUp.signal });
     } catch {
-      // The caller is gone: `state` says so.
+      // The caller has disconnected, which `state` shows.
     } finally {
       cancelTimer();
     }
--- a/packages/entry/src/http/request.spec.ts
+++ b/packages/entry/src/http/request.spec.ts
@@ -5,14 +5,14 @@
 import type { TestEntry } from '../testing/world.js';
 
 const gate = new FakeGate();
-let world: TestEntry;
+let testEntry: TestEntry;
 
 beforeAll(async () => {
   await gate.start();
   gate.script = () => [accepted, head(200, 'application/json'), chunk('{"ok":true}'), end];
   const documents = [modelDocument({ limits: { bodyBytes: 400 } }), plainDocument()];
   const instances = [target('agent', gate.address), target('desk-1', gate.address, 'desk')];
-  world = await startTestEntry(documents, instances, {
+  testEntry = await startTestEntry(documents, instances, {
     headerTimeoutMs: 300,
     requestTimeoutMs: 400,
     maxHeaderBytes: 2_048,
@@ -20,7 +20,7 @@
 });
 
 afterAll(async () => {
-  await world.close();
+  await testEntry.close();
   await gate.close();
 });
 
@@ -30,9 +30,9 @@
   readonly body?: string;
 }
 
-/** Sends bytes on a connection of their own and gives all that comes back until it closes. */
+/** Sends bytes on a new connection and returns everything received until it closes. */
 function raw(...parts: (string | Promise<string>)[]): Promise<string> {
-  const [host = '', port] = world.entry.httpAddress().split(':');
+  const [host = '', port] = testEntry.entry.httpAddress().split(':');
   return new Promise((resolve, reject) => {
     const socket = connect(Number(port), host);
     let text = '';
@@ -120,11 +120,15 @@
     ],
   ];
 
-  it.each(cases)('with %s gets a clear error', async (_name, path, init, status, code) => {
-    const headers = { 'content-type': 'application/json', authorization: `Bearer ${KEY}`, ...init.headers };
-    const method = init.method ?? 'POST';
-    const body = method === 'GET' ? undefined : (init.body ?? good);
-    const answer = await fetch(`${world.url}${path}`, { method, headers, body });
+  it.each(cases)('with %s gets a clear error', async (_name, path, request, status, code) => {
+    const headers = {
+      'content-type': 'application/json',
+      authorization: `Bearer ${KEY}`,
+      ...request.headers,
+    };
+    const method = request.method ?? 'POST';
+    const body = method === 'GET' ? undefined : (request.body ?? good);
+    const answer = await fetch(`${testEntry.url}${path}`, { method, headers, body });
     expect(answer.status).toBe(status);
     expect(answer.headers.get('x-run-state')).toBe('not-run');
     expect(await answer.json()).toMatchObject({ error: { code, run: 'not-run' } });
@@ -160,14 +164,13 @@
     const answer = await raw(text);
     expect(answer).toMatch(new RegExp(`^HTTP/1.1 ${status} `));
     expect(answer).toContain('"run":"not-run"');
-    const after = await chat(world.url, { stream: false });
+    const after = await chat(testEntry.url, { stream: false });
     expect(after.status).toBe(200);
   });
 
+  // Guards against request smuggling, which can give one caller the answer to another's request. A body holds bytes
+  // that a second parser takes for a request, because the two parsers disagree on where the first request ends.
   it('never reaches a target', async () => {
-    // Symptom: a request of one caller is answered to another.
-    // Sequence: a body holds what a second reader of the bytes takes for a request.
-    // Cause: two parsers that disagree on where a request ends.
     const before = gate.runs.length;
     const hidden = `POST /desk/hidden HTTP/1.1\r\nHost: x\r\n${json}Content-Length: 0\r\n\r\n`;
     await raw(`${line}${json}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n${hidden}`);
@@ -175,15 +178,14 @@
   });
 });
 
+// Guards against an answer that contains the text of an unrelated error. While a stream runs, its caller sends invalid
+// bytes on the same connection, and the parser error is written to the connection in the middle of the answer.
 it('does not write an error into the middle of an answer', async () => {
-  // Symptom: an answer holds the text of an error that has nothing to do with it.
-  // Sequence: while a stream runs, its caller sends bytes that are no request on the same connection.
-  // Cause: the error is written to the connection, not to the answer.
   const body = JSON.stringify({ model: 'm', messages: [{ role: 'user', content: 'hi' }] });
-  let begun: () => void = () => undefined;
-  const sent = new Promise<void>((resolve) => (begun = resolve));
+  let signalSent: () => void = () => undefined;
+  const sent = new Promise<void>((resolve) => (signalSent = resolve));
   const { script } = gate;
-  gate.script = () => [accepted, sse, chunk(delta('a')), { case: 'reached', action: begun }, silence];
+  gate.script = () => [accepted, sse, chunk(delta('a')), { case: 'reached', action: signalSent }, silence];
   const first = `${line}${json}Content-Length: ${body.length}\r\n\r\n${body}`;
   const text = await raw(
     first,
@@ -197,7 +199,7 @@
   it('carries no key, no fields of the connection, and the id and trace of the request', async () => {
     const traceparent = `00-${'a'.repeat(32)}-${'b'.repeat(16)}-01`;
     const headers = { 'x-request-id': 'id-1', 'x-note': 'kept', traceparent, authorization: `Bearer ${KEY}` };
-    const answer = await fetch(`${world.url}/desk/a?b=c`, { headers });
+    const answer = await fetch(`${testEntry.url}/desk/a?b=c`, { headers });
     expect(answer.headers.get('x-request-id')).toBe('id-1');
     const run = gate.runs.at(-1);
     expect(run).toMatchObject({ path: '/desk/a?b=c', method: 'GET', service: 'desk', requestId: 'id-1' });
@@ -209,14 +211,14 @@
   });
 
   it('is listed for the customer', async () => {
-    const answer = await fetch(`${world.url}/v1/models`, { headers: { authorization: `Bearer ${KEY}` } });
+    const answer = await fetch(`${testEntry.url}/v1/models`, { headers: { authorization: `Bearer ${KEY}` } });
     const list = (await answer.json()) as { data: { id: string }[] };
     expect(list.data.map(({ id }) => id)).toEqual(['m', 'm:lora']);
-    expect((await fetch(`${world.url}/v1/models`)).status).toBe(401);
+    expect((await fetch(`${testEntry.url}/v1/models`)).status).toBe(401);
   });
 
-  it('is only what the documents in force name', async () => {
-    const answer = await chat(world.url, { model: 'm:lora' });
+  it('is only what the current documents name', async () => {
+    const answer = await chat(testEntry.url, { model: 'm:lora' });
     expect(answer.status).toBe(503);
     expect(await answer.json()).toMatchObject({ error: { code: 'model-not-loaded', run: 'not-run' } });
   });
--- a/packages/entry/src/http/server.ts
+++ b/packages/entry/src/http/server.ts
@@ -1,4 +1,4 @@
-/** The listener that callers reach: bounds, bad connections, planned stop. */
+/** The HTTP server for callers: limits, invalid requests, and planned stop. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, RequestListener, Server, ServerResponse } from 'node:http';
 import { Server as NetServer } from 'node:net';
@@ -8,29 +8,29 @@
 import type { EntrySettings } from '../setting/index.js';
 import { refuseConnection, statusOfParserError } from './badConnection.js';
 
-/** Time for which a refused connection is still read, milliseconds. */
+/** Time for which a refused connection is still read before it is closed, milliseconds. */
 const REFUSED_LINGER_MS = 1_000;
 
-/** How often Node looks for requests that take too long. */
+/** How often Node checks for requests that exceed their timeouts, milliseconds. */
 const CHECK_INTERVAL_MS = 1_000;
 const MAX_HEADER_FIELDS = 200;
-/** A listener is closed once no connection has come for this long. */
+/** A draining server closes its listener after this long without a new connection, milliseconds. */
 const ACCEPT_QUIET_MS = 300;
 const DRAIN_POLL_MS = 50;
 
-/** A connection of a stopping server is closed when it has been idle for this long. */
+/** A draining server closes connections that have been idle for this long, milliseconds. */
 const DRAIN_IDLE_MS = 1_000;
 
-/** An open connection. */
+/** State of an open connection. */
 interface CallerConnection {
-  /** Answers that are not finished. */
+  /** Unfinished answers. */
   readonly responses: Set<ServerResponse>;
   bytesRead: number;
-  /** Monotonic time at which it was last seen busy. */
+  /** Monotonic time at which activity was last observed. */
   activeAt: number;
 }
 
-/** The bounds of callers' connections. */
+/** Settings of the server. */
 export type CallerServerSettings = Pick<
   EntrySettings,
   | 'httpHost'
@@ -42,10 +42,10 @@
   | 'idleTimeoutMs'
 >;
 
-/** The callers' listener. */
+/** The HTTP server that callers connect to. */
 export class CallerServer {
   private readonly server: Server;
-  /** Connections that got an error and are read out. */
+  /** Connections that got an error and are read until they close. */
   private readonly refusedSockets = new WeakSet<Socket>();
   private readonly openConnections = new Map<Socket, CallerConnection>();
   private lastConnectionAt = 0;
@@ -78,7 +78,7 @@
     this.watchConnections();
   }
 
-  /** Starts to listen. @returns host:port. */
+  /** Starts listening. @returns host:port. */
   async listen(): Promise<string> {
     const { httpHost, httpPort } = this.settings;
     await new Promise<void>((resolve, reject) => {
@@ -91,36 +91,42 @@
     return `${httpHost}:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Changes how long an idle connection and a head may take; open connections follow with their next request. */
+  /**
+   * Changes the timeouts of idle connections and request heads. Open connections use them from their next request on.
+   */
   bound(idleTimeoutMs: number, headerTimeoutMs: number): void {
     this.server.keepAliveTimeout = idleTimeoutMs;
     this.server.headersTimeout = headerTimeoutMs;
   }
 
-  /** Open connections. */
+  /** Number of open connections. */
   get connections(): number {
     return this.openConnections.size;
   }
 
-  /** From now on every answer asks its caller to take a new connection, which the balancer sends elsewhere. */
+  /**
+   * From now on answers carry `Connection: close`, so that callers reconnect and the load balancer picks another
+   * entry.
+   */
   turnAway(): void {
     this.stopping = true;
   }
 
   /**
-   * Closes the listener once no connection has come for a moment: one that still waits to be accepted would be
-   * reset with it. Then waits for the busy connections, and closes each one that has been idle for a while:
-   * one that has just fallen idle may have its caller's next request on the way.
+   * Closes the listener once no connection has arrived for a short time, because closing it resets connections that
+   * wait to be accepted. Then waits for active connections and closes each after an idle period, because the caller's
+   * next request may already be on its way.
+   * @param maxWaitMs maximum wait for new connections to cease.
    */
   async drain(maxWaitMs: number): Promise<void> {
-    const until = this.clock.monotonic() + maxWaitMs;
+    const waitUntil = this.clock.monotonic() + maxWaitMs;
     while (
       this.clock.monotonic() - this.lastConnectionAt < ACCEPT_QUIET_MS &&
-      this.clock.monotonic() < until
+      this.clock.monotonic() < waitUntil
     ) {
       await this.clock.sleep(DRAIN_POLL_MS);
     }
-    // The HTTP server's own close cuts idle connections at once; that of the layer below only the listener.
+    // `close` of the HTTP server closes idle connections at once; that of the net server closes only the listener.
     NetServer.prototype.close.call(this.server);
     while (this.openConnections.size > 0) {
       this.closeIdle();
@@ -140,7 +146,7 @@
     }
   }
 
-  /** Cuts everything. */
+  /** Closes the listener and all connections at once. */
   async close(): Promise<void> {
     const closed = new Promise<void>((resolve) => {
       this.server.close(() => {
@@ -162,9 +168,10 @@
   }
 
   /**
-   * Closes a connection whose answer began before the stop and could not say that it is the last. Its caller would
-   * send the next request at once, again and again, and the last one would be cut when the time to stop is over. A
-   * request that crosses the close is never read, so its caller may send it elsewhere.
+   * Closes a connection whose answer started before the stop and so could not carry `Connection: close`.
+   * Otherwise its caller would keep sending requests on it, and the last one would be cut off when the time for the
+   * stop is over. A request that arrives while the connection closes is never read, so its caller may safely
+   * retry it elsewhere.
    */
   private closeAfter(socket: Socket, outgoing: ServerResponse): void {
     const others = (this.openConnections.get(socket)?.responses.size ?? 0) - 1;
@@ -198,15 +205,15 @@
     }
     this.log.event(entryEvents.badConnection, { code: error.code, status: statusOfParserError(error.code) });
     const answers = [...(this.openConnections.get(socket)?.responses ?? [])];
-    const busy = answers.some((answer) => answer.headersSent || answer.req.complete);
-    // Earlier requests of the connection are in work: an error would be read as an answer to one of them.
-    if (busy) socket.destroy();
+    const hasRequestInProgress = answers.some((answer) => answer.headersSent || answer.req.complete);
+    // Earlier requests of the connection are in progress: the caller would take an error for the answer to one of them.
+    if (hasRequestInProgress) socket.destroy();
     else this.refuseAndLinger(error, socket);
   }
 
   /**
-   * Answers, and reads on for a moment before it closes. Closing while the caller still sends resets the
-   * connection, and the reset takes the error away before the caller has read it.
+   * Answers with an error and keeps reading for a short time before closing. Closing while the caller is still sending
+   * resets the connection, and a reset can discard the error before the caller has read it.
    */
   private refuseAndLinger(error: NodeJS.ErrnoException, socket: Socket): void {
     this.refusedSockets.add(socket);
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,4 +1,4 @@
-/** The entry role: callers in, decisions, streams out. */
+/** The entry role: accepts callers' requests, chooses targets and streams the answers. */
 export * from './answer/index.js';
 export * from './call/index.js';
 export * from './claim/index.js';
--- a/packages/entry/src/stall.spec.ts
+++ b/packages/entry/src/stall.spec.ts
@@ -8,31 +8,31 @@
 
 const CALLERS = 20;
 
-/** Longer than what counts as a stall, milliseconds. */
+/** Duration of the simulated stall, long enough to be detected as one, milliseconds. */
 const STALL_MS = 300;
 
-/** Bound of each wait, milliseconds. */
+/** Timeout of each wait, milliseconds. */
 const timeout = 20_000;
 
-/** A gate that answers late stays in use: a call that is sent twice is the entry's fault. */
+/** The gate never counts as silent here, so a call that is sent twice is a fault of the entry. */
 const settings = { streamSilenceMs: 60_000 };
 
 const BODY = JSON.stringify({ model: 'm', messages: [{ role: 'user', content: 'hi' }], stream: true });
 
 let gate: FakeGate;
-let world: TestEntry;
+let testEntry: TestEntry;
 let callers: Socket[];
 
 beforeEach(async () => {
   gate = new FakeGate();
   gate.script = () => [accepted, sse, chunk(doneEvent), end];
-  world = await startTestEntry([modelDocument()], [target('agent-1', await gate.start())], settings);
-  callers = await openConnections(new URL(world.url).host, CALLERS);
+  testEntry = await startTestEntry([modelDocument()], [target('agent-1', await gate.start())], settings);
+  callers = await openConnections(new URL(testEntry.url).host, CALLERS);
 });
 
 afterEach(async () => {
   for (const caller of callers) caller.destroy();
-  await world.close();
+  await testEntry.close();
   await gate.close();
 });
 
@@ -56,32 +56,32 @@
 const isWhole = ({ text }: ReadAnswer): boolean =>
   text.startsWith('HTTP/1.1 200') && text.endsWith(`${doneEvent}\r\n0\r\n\r\n`);
 
-/** Ids of the requests that the gate got, once the entry is done with all calls. */
-async function arrivals(): Promise<string[]> {
-  await expect.poll(() => world.counterValue(entryMetrics.requests), { timeout }).toBe(CALLERS);
-  // Sent over the same connection to the gate, so what was sent before it has arrived when it is answered.
-  const last = await chat(world.url);
+/** Ids of the requests that reached the gate, read once the entry has finished all calls. */
+async function forwardedIds(): Promise<string[]> {
+  await expect.poll(() => testEntry.counterValue(entryMetrics.requests), { timeout }).toBe(CALLERS);
+  // Uses the same connection to the gate, so all that was sent earlier has arrived when this call is answered.
+  const last = await chat(testEntry.url);
   expect(await last.text()).toBe(doneEvent);
   const ids = gate.runs.map(({ requestId }) => requestId);
   return ids.filter((id) => id !== last.headers.get('x-request-id'));
 }
 
-// Guards against calls that are sent on for callers that left while the entry stood still.
-it('sends nothing on for callers that left during a stall', async () => {
+// Guards against calls that are forwarded for callers that disconnected while the entry was stalled.
+it('forwards no calls of callers that disconnected during a stall', async () => {
   callers.forEach(call);
   blockLoop(STALL_MS);
   for (const caller of callers) caller.destroy();
-  expect(await arrivals()).toEqual([]);
+  expect(await forwardedIds()).toEqual([]);
   expect(gate.cancels).toEqual([]);
 });
 
-// Guards against calls that are dropped or sent twice as the entry takes their callers for gone.
+// Guards against calls that are dropped or sent twice because the entry considers their callers disconnected.
 it('serves callers that stayed during a stall', async () => {
   const answers = callers.map(read);
   callers.forEach(call);
   blockLoop(STALL_MS);
   await expect.poll(() => answers.filter(isWhole).length, { timeout }).toBe(CALLERS);
-  const ids = await arrivals();
+  const ids = await forwardedIds();
   expect(ids).toHaveLength(CALLERS);
   expect(new Set(ids).size).toBe(CALLERS);
 });
--- a/packages/entry/src/stream.spec.ts
+++ b/packages/entry/src/stream.spec.ts
@@ -30,7 +30,7 @@
   readonly error: { readonly code: string; readonly run: string };
 }
 
-let world: TestEntry | undefined;
+let testEntry: TestEntry | undefined;
 const gates: FakeGate[] = [];
 
 async function startGate(): Promise<FakeGate> {
@@ -47,8 +47,8 @@
 ): Promise<TestEntry> {
   const instances = targets.map((one, index) => target(`agent-${index}`, one.address));
   const bounds = { streamSilenceMs: 600, resumeWindowMs: 1_500, cancelTimeoutMs: 300, ...settings };
-  world = await startTestEntry([modelDocument(document), plainDocument()], instances, bounds);
-  return world;
+  testEntry = await startTestEntry([modelDocument(document), plainDocument()], instances, bounds);
+  return testEntry;
 }
 
 const errorIn = (text: string): ErrorEvent['error'] => {
@@ -68,8 +68,8 @@
   JSON.parse(Buffer.from(run?.body ?? []).toString());
 
 afterEach(async () => {
-  await world?.close();
-  world = undefined;
+  await testEntry?.close();
+  testEntry = undefined;
   await Promise.all(gates.splice(0).map((one) => one.close()));
 });
 
@@ -90,10 +90,9 @@
     });
   });
 
+  // Guards against a stream that hangs although the target is working. A device between entry and agent drops the
+  // connection's state, so neither an end nor a reset arrives; only the missing heartbeats reveal it.
   it('is resumed at its gate over a new connection when the old one goes silent', async () => {
-    // Symptom: a stream stands still for good although the target works.
-    // Sequence: something between entry and agent loses track of the connection; no end, no reset arrives.
-    // Cause: a connection's being open proves nothing; only heartbeats do, and they have ceased.
     const one = await startGate();
     const { url, peers } = await startEntry([one]);
     const silent = peers.transport(one.address);
@@ -106,7 +105,7 @@
     expect(one.runs).toHaveLength(1);
   });
 
-  it('stays open while only heartbeats come', async () => {
+  it('stays open while only heartbeats arrive', async () => {
     const one = await startGate();
     const { url } = await startEntry([one]);
     const heartbeats: ScriptStep[] = Array.from({ length: 8 }, (): ScriptStep[] => [
@@ -118,10 +117,9 @@
     expect(one.resumes).toHaveLength(0);
   });
 
-  it('does not pass on events after a gap', async () => {
-    // Symptom: a token is missing in the middle of an answer.
-    // Sequence: a resume starts after the asked ordinal.
-    // Cause: a gate that has dropped an event sends the next one.
+  // Guards against a token missing in the middle of an answer. A gate that has dropped an event resumes after the
+  // requested ordinal.
+  it('does not forward events after a gap', async () => {
     const one = await startGate();
     const { url } = await startEntry([one]);
     one.script = () => [accepted, sse, chunk(delta('a')), cut];
@@ -135,10 +133,9 @@
     expect(contentOf(await (await chat(url)).text())).toBe('ab');
   });
 
-  it('never passes on events of another request', async () => {
-    // Symptom: a caller reads another caller's answer.
-    // Sequence: an event arrives on this stream under another request's id.
-    // Cause: answers crossed somewhere on the way.
+  // Guards against a caller that gets another caller's answer. An event with another request's id arrives on the stream
+  // because answers were mixed up on the way.
+  it('never forwards events of another request', async () => {
     const one = await startGate();
     const { url } = await startEntry([one]);
     one.script = () => [accepted, sse, chunk(delta('a')), { case: 'crossed' }, chunk(delta('stranger'))];
@@ -147,10 +144,9 @@
     expect(text).toBe(delta('a') + delta('b') + doneEvent);
   });
 
-  it('is not whole without its end marker', async () => {
-    // Symptom: a caller takes half an answer for a whole one.
-    // Sequence: the gate says that the answer ended, and the target's end marker never came.
-    // Cause: a connection to the engine that closed was taken for the end of its stream.
+  // Guards against a truncated answer that looks complete. The gate reports the end of the answer without the target's
+  // end marker, because a closed connection to the engine was treated as the end of the stream.
+  it('is not complete without its end marker', async () => {
     const one = await startGate();
     const { url } = await startEntry([one], { nonIdempotent: [{ models: ['m'] }] });
     one.script = () => [accepted, sse, chunk(delta('a')), end];
@@ -168,10 +164,9 @@
   const role = { delta: { role: 'assistant', content: '' } };
   const withContent = (content: string): object => ({ delta: { content } });
 
+  // Guards against an answer that ends early or repeats a word. The agent is killed after two tokens and half an event,
+  // and another target continues; only the entry has the state needed to join the two parts.
   it('is replaced by another one without a token lost or repeated', async () => {
-    // Symptom: an answer breaks off, or a word stands in it twice.
-    // Sequence: the agent is killed after two tokens and half an event; another target goes on.
-    // Cause: nobody but the entry knows what the caller has.
     const [one, two] = [await startGate(), await startGate()];
     const { url } = await startEntry([one, two]);
     const breaking = [
@@ -213,10 +208,9 @@
     });
   });
 
-  it('leaves an explicit error where the call may not be repeated', async () => {
-    // Symptom: two valuation notes on one file.
-    // Sequence: the agent is killed inside the answer to a call that may not be repeated.
-    // Cause: continuing it elsewhere would run it a second time.
+  // Guards against a second execution of a non-idempotent call. The agent is killed in the middle of its answer, and
+  // continuing it on another target would run it again.
+  it('gives an explicit error where the call may not be repeated', async () => {
     const [one, two] = [await startGate(), await startGate()];
     const { url } = await startEntry([one, two], { nonIdempotent: [{ models: ['m'] }] });
     one.script = () => [accepted, sse, chunk(event(first, withContent('a'))), cut];
@@ -227,10 +221,9 @@
     expect(one.runs.length + two.runs.length).toBe(1);
   });
 
-  it('leaves an explicit error where the rest can not be asked for', async () => {
-    // Symptom: a continued answer that is no valid JSON.
-    // Sequence: the target of an answer with a stated format is lost.
-    // Cause: another engine would begin the format anew in the middle of it.
+  // Guards against a continued answer that is not valid JSON. The target of an answer with a response format is lost,
+  // and another engine would start the format from its beginning in the middle of the answer.
+  it('gives an explicit error where the answer can not be continued', async () => {
     const [one, two] = [await startGate(), await startGate()];
     const { url } = await startEntry([one, two]);
     one.script = () => [accepted, sse, chunk(event(first, withContent('{'))), failure('target-lost')];
@@ -240,7 +233,7 @@
     expect(one.runs.length + two.runs.length).toBe(1);
   });
 
-  it('ends the answer when all its tokens were there', async () => {
+  it('has its answer completed when all tokens were sent', async () => {
     const [one, two] = [await startGate(), await startGate()];
     const { url } = await startEntry([one, two]);
     one.script = () => [
@@ -257,10 +250,9 @@
     expect(text.endsWith(doneEvent)).toBe(true);
   });
 
-  it('is asked again when there is no other one', async () => {
-    // Symptom: a service with one target fails requests whenever its engine restarts.
-    // Sequence: the engine is replaced while a request that may be repeated is at it.
-    // Cause: a target that failed once is left out, and no other one is there.
+  // Guards against a service with one target that fails requests whenever its engine restarts. The engine is replaced
+  // while it runs an idempotent request; a target that failed once is excluded, and there is no other one.
+  it('is tried again when there is no other target', async () => {
     const one = await startGate();
     const { url } = await startEntry([one]);
     let runs = 0;
@@ -273,7 +265,7 @@
     expect(await (await chat(url)).text()).toBe(delta('a') + doneEvent);
   });
 
-  it('does not matter once the end marker went out', async () => {
+  it('does not matter once the end marker was sent', async () => {
     const one = await startGate();
     const { url } = await startEntry([one]);
     one.script = () => [accepted, sse, chunk(event(first, withContent('a')) + doneEvent), cut];
@@ -285,7 +277,7 @@
 describe('an answer that is not streamed', () => {
   const json = head(200, 'application/json');
 
-  it('is asked for elsewhere when it breaks, and the caller sees one whole answer', async () => {
+  it('is requested from another target when it breaks, and the caller gets one complete answer', async () => {
     const [one, two] = [await startGate(), await startGate()];
     const { url } = await startEntry([one, two]);
     let runs = 0;
@@ -300,22 +292,21 @@
     expect(await answer.json()).toEqual({ a: 1 });
   });
 
-  it('cuts the connection when it breaks after it has begun', async () => {
-    // Symptom: a truncated file is taken for a whole one.
-    // Sequence: a large plain answer breaks in the middle.
-    // Cause: an HTTP answer without a stated length ends like a whole one unless the connection is cut.
+  // Guards against a truncated file that looks complete. A large answer that is not streamed breaks in the middle;
+  // without a Content-Length its end looks normal unless the connection is reset.
+  it('resets the connection when it breaks after it was started', async () => {
     const one = await startGate();
-    world = await startTestEntry([plainDocument()], [target('desk-1', one.address, 'desk')], {
+    testEntry = await startTestEntry([plainDocument()], [target('desk-1', one.address, 'desk')], {
       holdBytes: 4,
       resumeWindowMs: 100,
     });
     one.script = () => [accepted, head(200, 'text/plain'), chunk('12345678'), cut];
-    const answer = await fetch(`${world.url}/desk/x`, { headers: { authorization: `Bearer ${KEY}` } });
+    const answer = await fetch(`${testEntry.url}/desk/x`, { headers: { authorization: `Bearer ${KEY}` } });
     expect(answer.status).toBe(200);
     await expect(answer.text()).rejects.toThrow();
   });
 
-  it("passes on the target's own error when no other target helps", async () => {
+  it("forwards the target's own error when no other target can be tried", async () => {
     const one = await startGate();
     const { url } = await startEntry([one], {}, { maxAttempts: 1 });
     one.script = () => [accepted, head(503, 'application/json'), chunk('{"busy":1}'), end];
@@ -347,10 +338,10 @@
     expect(await answer.json()).toMatchObject({ error: { code: 'target-unreachable', run: 'not-run' } });
   });
 
+  // Guards against a request that runs twice because its caller retries after a false "not run". The Run message is
+  // delayed in the network and arrives after the entry has abandoned the connection; a missing response does not prove
+  // that the message was lost.
   it('is not-run for a message in flight only when the gate has recorded the cancellation', async () => {
-    // Symptom: a caller is told "not run", sends again, and the request runs twice.
-    // Sequence: the Run message is held up on the way; the connection is given up; later the message arrives.
-    // Cause: no answer does not mean that the message was lost.
     const one = await startGate();
     const { url } = await startEntry([one], { nonIdempotent: [{ models: ['m'] }] }, { maxAttempts: 1 });
     one.script = () => [silence];
@@ -362,10 +353,9 @@
     expect(await open.json()).toMatchObject({ error: { code: 'target-lost', run: 'may-have-run' } });
   });
 
+  // Guards against "not run" for a request that ran. The first target is lost while running it and the second one
+  // refuses it; the last fault alone does not cover the earlier attempts.
   it('keeps what an earlier attempt may have done', async () => {
-    // Symptom: "not run" for a request that ran.
-    // Sequence: the first target is lost at work, the second one refuses.
-    // Cause: the last fault alone says nothing of the attempts before it.
     const [one, two] = [await startGate(), await startGate()];
     const { url } = await startEntry([one, two], {}, { maxAttempts: 2 });
     let runs = 0;
@@ -379,11 +369,10 @@
   });
 });
 
-describe('a call that is given up', () => {
-  it('is cancelled at the gate within a second after its caller hung up', async () => {
-    // Symptom: an engine generates for nobody.
-    // Sequence: a caller closes its connection in the middle of a stream.
-    // Cause: the gate can't see the caller.
+describe('an abandoned call', () => {
+  // Guards against an engine that generates output nobody reads. A caller disconnects in the middle of a stream,
+  // which the gate can't observe by itself.
+  it('is cancelled at the gate within a second after its caller disconnected', async () => {
     const one = await startGate();
     const { url } = await startEntry([one]);
     const heartbeat = { case: 'heartbeat', value: {} } as const;
@@ -404,7 +393,7 @@
     expect(one.cancels[0]?.attemptId).toBe(one.runs[0]?.attemptId);
   });
 
-  it('gets its answer when the deadline passes, whatever the gate does', async () => {
+  it('is answered when the deadline passes, even if the gate does not respond', async () => {
     const one = await startGate();
     const { url } = await startEntry([one], {}, { streamSilenceMs: 10_000 });
     one.script = () => [accepted, silence];
--- a/packages/entry/src/testing/calls.ts
+++ b/packages/entry/src/testing/calls.ts
@@ -1,4 +1,4 @@
-/** Checked calls and announced targets for specs of single functions. */
+/** Calls and target instances for unit tests. */
 import type { Instance, View } from '@jasmineroute/directory';
 import { resolveRequest } from '../call/index.js';
 import type { Call, CallerRequest } from '../call/index.js';
@@ -15,13 +15,13 @@
   deadlineMs: undefined,
 };
 
-/** A completion call for a model under the documents of a view. */
+/** A completion call for a model of the view's documents. */
 export function callFor(view: View, model = 'm'): Call {
   const body = Buffer.from(JSON.stringify({ model, prompt: 'x' }));
   return resolveRequest(request, view)._unsafeUnwrap().complete(body)._unsafeUnwrap();
 }
 
-/** A target that has one version of the model "m" in memory. */
+/** A target that has one version of the model "m" loaded. */
 export function targetWith(name: string, version: string, adapters: string[] = [], ready = true): Instance {
   const instance = target(name, '127.0.0.1:1');
   const base = instance.target;
--- a/packages/entry/src/testing/gate.ts
+++ b/packages/entry/src/testing/gate.ts
@@ -1,4 +1,4 @@
-/** A gate on loopback whose behaviour a test writes down. */
+/** A fake gate on the loopback interface that plays a script. */
 import { create } from '@bufbuild/protobuf';
 import type { MessageInitShape } from '@bufbuild/protobuf';
 import { Code, ConnectError } from '@connectrpc/connect';
@@ -17,13 +17,13 @@
   | { readonly case: 'wait'; readonly for: Promise<unknown> }
   /** Closes the stream without a last event. */
   | { readonly case: 'cut' }
-  /** Sends nothing more, for good. */
+  /** Sends nothing more until the stream is aborted. */
   | { readonly case: 'silence' }
-  /** Tells the test that the stream has come this far. */
+  /** Calls back when the script reaches this step. */
   | { readonly case: 'reached'; readonly action: () => void }
-  /** Leaves an ordinal out. */
+  /** Skips an ordinal. */
   | { readonly case: 'skip' }
-  /** Sends the next event under another request's id. */
+  /** Sends the following events with another request's id. */
   | { readonly case: 'crossed' };
 
 export const accepted: ScriptStep = { case: 'accepted', value: create(gateMessage.AcceptedSchema, {}) };
@@ -57,15 +57,15 @@
 
 export const doneEvent = 'data: [DONE]\n\n';
 
-type Script = (request: gateMessage.RunRequest) => ScriptStep[];
+type GateScript = (request: gateMessage.RunRequest) => ScriptStep[];
 
-/** A running fake gate and what it saw. */
+/** A fake gate that records the requests it receives. */
 export class FakeGate {
   readonly runs: gateMessage.RunRequest[] = [];
   readonly resumes: gateMessage.ResumeRequest[] = [];
   readonly cancels: gateMessage.CancelRequest[] = [];
-  script: Script = () => [accepted, end];
-  /** What a resume sends, from its ordinal on; absent: the attempt is not known. */
+  script: GateScript = () => [accepted, end];
+  /** Events that a resume sends, starting at its ordinal; undefined: the attempt is unknown. */
   resumeScript: ((request: gateMessage.ResumeRequest) => ScriptStep[]) | undefined;
   cancelAnswer: gateMessage.Ran | 'silence' = gateMessage.Ran.NOT_RUN;
   private server: RpcServer | undefined;
--- a/packages/entry/src/testing/world.ts
+++ b/packages/entry/src/testing/world.ts
@@ -1,4 +1,4 @@
-/** An entry with documents, targets and claims that a test states. */
+/** A running entry with documents, instances and claims set by a test. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { create } from '@bufbuild/protobuf';
@@ -18,8 +18,8 @@
 const owner = { team: 'owners', operators: { ana: hashKey('op') } };
 const customers = [{ name: 'harbour', keys: [hashKey(KEY)] }];
 
-/** Document of a model service with one model "m"; `extra` replaces fields. */
-export function modelDocument(extra: object = {}): Document {
+/** Document of a model service with one model "m". */
+export function modelDocument(overrides: object = {}): Document {
   const models = [{ name: 'm', version: '1', adapters: [{ name: 'lora', version: '2' }] }];
   return documentSchema.parse({
     kind: 'model',
@@ -28,28 +28,28 @@
     customers,
     models,
     policy: 'round-robin',
-    ...extra,
+    ...overrides,
   });
 }
 
 /** Document of a plain service under /desk. */
-export function plainDocument(extra: object = {}): Document {
+export function plainDocument(overrides: object = {}): Document {
   return documentSchema.parse({
     kind: 'plain',
     service: 'desk',
     owner,
     customers,
     routes: [{ path: '/desk/**' }],
-    ...extra,
+    ...overrides,
   });
 }
 
-/** A target's instance at a gate's address. */
+/** Instance of a target with the given gate address. */
 export function target(
   name: string,
   address: string,
   service = 'pool',
-  extra: Partial<Instance> = {},
+  overrides: Partial<Instance> = {},
 ): Instance {
   return {
     name,
@@ -68,11 +68,11 @@
       capacity: 8,
       role: '',
     },
-    ...extra,
+    ...overrides,
   };
 }
 
-/** A view that a test sets. */
+/** A directory whose view is set by the test. */
 export class FakeDirectory implements EntryDirectory {
   private current: View;
   left = false;
@@ -131,7 +131,7 @@
 
 const { GRANTED, RUNNING, DONE, UNKNOWN, MISMATCH } = controlMessage.ClaimState;
 
-/** Claims in memory, by the same rules as those of the control instances. */
+/** An in-memory claim store with the same rules as the control instances. */
 export class FakeClaims implements ClaimStore {
   readonly claims = new Map<string, Claim>();
   unreachable = false;
@@ -139,14 +139,14 @@
   claim(request: ClaimMessage): Promise<Result<controlMessage.ClaimResponse, Fault>> {
     if (this.unreachable) return Promise.resolve(err(fault('claims-unavailable', 'out of reach')));
     const fingerprint = Buffer.from(request.fingerprint).toString('hex');
-    const known = this.claims.get(request.key);
-    if (known === undefined) {
+    const claim = this.claims.get(request.key);
+    if (claim === undefined) {
       const { attemptId, agent } = request;
       this.claims.set(request.key, { attemptId, agent, fingerprint, state: RUNNING });
       return Promise.resolve(ok(create(controlMessage.ClaimResponseSchema, { state: GRANTED })));
     }
-    const { attemptId, agent, answer } = known;
-    const state = known.fingerprint === fingerprint ? known.state : MISMATCH;
+    const { attemptId, agent, answer } = claim;
+    const state = claim.fingerprint === fingerprint ? claim.state : MISMATCH;
     return Promise.resolve(
       ok(create(controlMessage.ClaimResponseSchema, { state, attemptId, agent, answer })),
     );
@@ -154,28 +154,28 @@
 
   settle(request: SettleMessage): Promise<Result<unknown, Fault>> {
     if (this.unreachable) return Promise.resolve(err(fault('claims-unavailable', 'out of reach')));
-    const known = this.claims.get(request.key);
-    if (known?.attemptId !== request.attemptId) return Promise.resolve(ok(undefined));
+    const claim = this.claims.get(request.key);
+    if (claim?.attemptId !== request.attemptId) return Promise.resolve(ok(undefined));
     if (request.settlement === controlMessage.Settlement.RELEASED) this.claims.delete(request.key);
-    else known.state = request.settlement === controlMessage.Settlement.DONE ? DONE : UNKNOWN;
-    known.answer = request.answer;
+    else claim.state = request.settlement === controlMessage.Settlement.DONE ? DONE : UNKNOWN;
+    claim.answer = request.answer;
     return Promise.resolve(ok(undefined));
   }
 }
 
-/** An entry that listens, and its surroundings. */
+/** A running entry with its fakes. */
 export interface TestEntry {
   readonly entry: EntryProcess;
   readonly url: string;
   readonly directory: FakeDirectory;
   readonly claims: FakeClaims;
   readonly peers: Peers;
-  /** Value of a counter of the entry. */
+  /** Current value of a counter of the entry. */
   counterValue(kind: MetricKind): number;
   close(): Promise<void>;
 }
 
-/** Starts an entry over documents and instances. @param settings as flags would give them. */
+/** Starts an entry with documents and instances. @param settings values as given by flags. */
 export async function startTestEntry(
   documents: readonly Document[],
   instances: readonly Instance[],
@@ -236,11 +236,11 @@
   });
 }
 
-/** Resolves once a condition holds. @throws Error after twenty seconds. */
+/** Resolves once a condition holds. @throws Error after 20 seconds. */
 export async function waitUntil(condition: () => boolean): Promise<void> {
   const deadline = performance.now() + 20_000;
   while (!condition()) {
-    if (performance.now() > deadline) throw new Error('the condition never held');
+    if (performance.now() > deadline) throw new Error('the condition did not hold within 20 s');
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
 }
--- a/packages/entry/src/work/attempts.ts
+++ b/packages/entry/src/work/attempts.ts
@@ -129,7 +129,7 @@
     const outcome = await this.sender.send(attempt);
     return match(outcome)
       .with({ type: 'ended' }, () => this.handleEnd(attempt))
-      .with({ type: 'refused' }, { type: 'failed' }, (lost) => this.retryOrFail(lost.fault, attempt))
+      .with({ type: 'refused' }, { type: 'failed' }, (failure) => this.retryOrFail(failure.fault, attempt))
       .with({ type: 'stopped' }, () => this.handleStop(attempt))
       .exhaustive();
   }
--- a/packages/entry/src/work/background.ts
+++ b/packages/entry/src/work/background.ts
@@ -1,6 +1,6 @@
 /** Tasks that continue after their caller was answered. */
 
-/** Tracks tasks so that a planned shutdown can wait for them. */
+/** Tracks tasks so that a planned stop can wait for them. */
 export class BackgroundTasks {
   private readonly tasks = new Set<Promise<void>>();
 
--- a/packages/entry/src/work/claimed.ts
+++ b/packages/entry/src/work/claimed.ts
@@ -39,7 +39,7 @@
     const outcome = await this.parts.sender.send(attempt);
     return match(outcome)
       .with({ type: 'ended' }, () => this.handleEnd(attemptId))
-      .with({ type: 'refused' }, { type: 'failed' }, (lost) => this.handleFailure(lost.fault, attempt))
+      .with({ type: 'refused' }, { type: 'failed' }, (failure) => this.handleFailure(failure.fault, attempt))
       .with({ type: 'stopped' }, () => this.handleStop(attempt))
       .exhaustive();
   }
@@ -127,7 +127,7 @@
     return this.parts.failureHandler.fail(fault('outcome-unknown', message));
   }
 
-  /** Settles in the background; a planned shutdown waits for it. */
+  /** Settles in the background; a planned stop waits for it. */
   private settle(attemptId: string, settlement: AttemptSettlement): void {
     void this.context.claims.settle(this.active.call, attemptId, settlement);
   }
--- a/packages/entry/src/work/sender.ts
+++ b/packages/entry/src/work/sender.ts
@@ -52,8 +52,8 @@
     const ok = outcome.type === 'ended';
     const { cachedTokens } = end ?? {};
     const load = loadOf(end?.load);
-    const told = { ok, firstTokenMs: firstTokenMs(), cachedTokens, load };
-    policy.settled({ candidate, job, phase: 'end', ...told });
+    const report = { ok, firstTokenMs: firstTokenMs(), cachedTokens, load };
+    policy.settled({ candidate, job, phase: 'end', ...report });
     if (load !== undefined) this.context.admissions.of(job.service).observe(load);
     metrics.count(entryMetrics.attempts, 1, { outcome: outcome.type });
     endHop(hop, outcome.type === 'ended' ? undefined : outcome.type);
