--- a/packages/entry/src/answer/answer.ts
+++ b/packages/entry/src/answer/answer.ts
@@ -5,11 +5,11 @@
 import type { Call } from '../call/index.js';
 import type { AttemptSink } from '../gate/index.js';
 import type { Reply } from '../http/reply.js';
-import { EventFramer, MAX_EVENT_BYTES } from './boundary.js';
+import { EventFramer, MAX_EVENT_BYTES } from './eventFramer.js';
 import { continuationOf } from './continuation.js';
-import { BoundedBuffer } from './keeper.js';
+import { BoundedBuffer } from './boundedBuffer.js';
 import { readProgress } from './progress.js';
-import { EventRewriter } from './rewriter.js';
+import { EventRewriter } from './eventRewriter.js';
 
 /** Limits of one answer. */
 export interface AnswerBounds {
--- a/packages/entry/src/call/candidates.spec.ts
+++ b/packages/entry/src/call/candidates.spec.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import type { Instance } from '@jasmineroute/directory';
 import { callFor, targetWith } from '../testing/calls.js';
-import { FakeDirectory, modelDocument } from '../testing/world.js';
+import { FakeDirectory, modelDocument } from '../testing/testEntry.js';
 import { candidatesOf } from './candidates.js';
 
 function names(instance: Instance, model = 'm'): string[] {
--- a/packages/entry/src/call/index.ts
+++ b/packages/entry/src/call/index.ts
@@ -3,4 +3,4 @@
 export * from './header.js';
 export * from './resolve.js';
 export * from './tables.js';
-export * from './served.js';
+export * from './servedModel.js';
--- a/packages/entry/src/call/served.spec.ts
+++ b/packages/entry/src/call/servedModel.spec.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
 import type { Instance } from '@jasmineroute/directory';
 import { callFor, targetWith as loaded } from '../testing/calls.js';
-import { FakeDirectory, modelDocument } from '../testing/world.js';
-import { servedModel } from './served.js';
+import { FakeDirectory, modelDocument } from '../testing/testEntry.js';
+import { servedModel } from './servedModel.js';
 
 function served(instances: Instance[], name = 'm'): string[] {
   const view = new FakeDirectory([modelDocument()], instances).view();
--- a/packages/entry/src/claim/claims.spec.ts
+++ b/packages/entry/src/claim/claims.spec.ts
@@ -12,10 +12,10 @@
   refusal,
   silence,
   sse,
-} from '../testing/gate.js';
-import type { ScriptStep } from '../testing/gate.js';
-import { FakeClaims, chat, modelDocument, startTestEntry, target, waitUntil } from '../testing/world.js';
-import type { TestEntry } from '../testing/world.js';
+} from '../testing/fakeGate.js';
+import type { ScriptStep } from '../testing/fakeGate.js';
+import { FakeClaims, chat, modelDocument, startTestEntry, target, waitUntil } from '../testing/testEntry.js';
+import type { TestEntry } from '../testing/testEntry.js';
 
 const { RUNNING, DONE } = controlMessage.ClaimState;
 
--- a/packages/entry/src/http/drain.spec.ts
+++ b/packages/entry/src/http/drain.spec.ts
@@ -1,10 +1,10 @@
 import { Agent, request } from 'node:http';
 import { connect } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
-import { FakeGate, accepted, chunk, delta, doneEvent, end, head, sse } from '../testing/gate.js';
-import type { ScriptStep } from '../testing/gate.js';
-import { KEY, chat, modelDocument, startTestEntry, target, waitUntil } from '../testing/world.js';
-import type { TestEntry } from '../testing/world.js';
+import { FakeGate, accepted, chunk, delta, doneEvent, end, head, sse } from '../testing/fakeGate.js';
+import type { ScriptStep } from '../testing/fakeGate.js';
+import { KEY, chat, modelDocument, startTestEntry, target, waitUntil } from '../testing/testEntry.js';
+import type { TestEntry } from '../testing/testEntry.js';
 
 const gates: FakeGate[] = [];
 let testEntry: TestEntry | undefined;
--- a/packages/entry/src/http/request.spec.ts
+++ b/packages/entry/src/http/request.spec.ts
@@ -1,8 +1,8 @@
 import { connect } from 'node:net';
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
-import { FakeGate, accepted, chunk, delta, end, head, silence, sse } from '../testing/gate.js';
-import { KEY, chat, modelDocument, plainDocument, startTestEntry, target } from '../testing/world.js';
-import type { TestEntry } from '../testing/world.js';
+import { FakeGate, accepted, chunk, delta, end, head, silence, sse } from '../testing/fakeGate.js';
+import { KEY, chat, modelDocument, plainDocument, startTestEntry, target } from '../testing/testEntry.js';
+import type { TestEntry } from '../testing/testEntry.js';
 
 const gate = new FakeGate();
 let testEntry: TestEntry;
--- a/packages/entry/src/stall.spec.ts
+++ b/packages/entry/src/stall.spec.ts
@@ -2,9 +2,9 @@
 import { blockLoop, openConnections } from '@jasmineroute/testkit';
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { entryMetrics } from './metrics.js';
-import { FakeGate, accepted, chunk, doneEvent, end, sse } from './testing/gate.js';
-import { KEY, chat, modelDocument, startTestEntry, target } from './testing/world.js';
-import type { TestEntry } from './testing/world.js';
+import { FakeGate, accepted, chunk, doneEvent, end, sse } from './testing/fakeGate.js';
+import { KEY, chat, modelDocument, startTestEntry, target } from './testing/testEntry.js';
+import type { TestEntry } from './testing/testEntry.js';
 
 const CALLERS = 20;
 
--- a/packages/entry/src/stream.spec.ts
+++ b/packages/entry/src/stream.spec.ts
@@ -13,8 +13,8 @@
   refusal,
   silence,
   sse,
-} from './testing/gate.js';
-import type { ScriptStep } from './testing/gate.js';
+} from './testing/fakeGate.js';
+import type { ScriptStep } from './testing/fakeGate.js';
 import {
   chat,
   modelDocument,
@@ -23,8 +23,8 @@
   target,
   waitUntil,
   KEY,
-} from './testing/world.js';
-import type { TestEntry } from './testing/world.js';
+} from './testing/testEntry.js';
+import type { TestEntry } from './testing/testEntry.js';
 
 interface ErrorEvent {
   readonly error: { readonly code: string; readonly run: string };
--- a/packages/entry/src/testing/calls.ts
+++ b/packages/entry/src/testing/calls.ts
@@ -2,7 +2,7 @@
 import type { Instance, View } from '@jasmineroute/directory';
 import { resolveRequest } from '../call/index.js';
 import type { Call, CallerRequest } from '../call/index.js';
-import { KEY, target } from './world.js';
+import { KEY, target } from './testEntry.js';
 
 const request: CallerRequest = {
   requestId: 'r',
--- a/packages/entry/src/work/attempts.ts
+++ b/packages/entry/src/work/attempts.ts
@@ -11,7 +11,7 @@
 import type { RequestedModel } from '../call/index.js';
 import { entryEvents } from '../events.js';
 import { entryMetrics } from '../metrics.js';
-import { ClaimedSender } from './claimed.js';
+import { ClaimedSender } from './claimedSender.js';
 import type { Job } from '@jasmineroute/routing';
 import type { EntryContext } from './context.js';
 import type { Placement } from './decisions.js';
--- a/packages/entry/src/work/context.ts
+++ b/packages/entry/src/work/context.ts
@@ -7,7 +7,7 @@
 import type { EntrySettings } from '../setting/index.js';
 import type { Admissions } from './admissions.js';
 import type { Decisions } from './decisions.js';
-import type { BackgroundTasks } from './background.js';
+import type { BackgroundTasks } from './backgroundTasks.js';
 
 /** Dependencies and state shared by all calls of an entry. */
 export interface EntryContext {
--- a/packages/entry/src/work/decisions.ts
+++ b/packages/entry/src/work/decisions.ts
@@ -10,7 +10,7 @@
 import { candidatesOf } from '../call/index.js';
 import type { Call, GateCandidate, RequestedModel } from '../call/index.js';
 import { entryMetrics } from '../metrics.js';
-import { readingOf } from './reading.js';
+import { readingOf } from './gateMessages.js';
 import type { GateClients } from '../gate/index.js';
 
 /** A chosen target. */
--- a/packages/entry/src/work/sender.ts
+++ b/packages/entry/src/work/sender.ts
@@ -11,7 +11,7 @@
 import { entryMetrics } from '../metrics.js';
 import type { EntryContext } from './context.js';
 import type { PlacedAttempt, ActiveCall } from './plan.js';
-import { loadOf } from './reading.js';
+import { loadOf } from './gateMessages.js';
 
 const TRACE_FIELDS: ReadonlySet<string> = new Set(['traceparent', 'tracestate']);
 
--- a/scripts/guards/list.mjs
+++ b/scripts/guards/list.mjs
@@ -33,7 +33,7 @@
   },
   {
     name: 'claim before the first byte',
-    file: 'packages/entry/src/work/claimed.ts',
+    file: 'packages/entry/src/work/claimedSender.ts',
     find: "if (result.type !== 'granted') return this.handleNotGranted(result, attempt);",
     put: "if (result.type === 'refused' && result.fault.kind === 'claims-unavailable') return this.handleNotGranted(result, attempt);",
     spec: 'packages/proof/src/once',
@@ -99,7 +99,7 @@
   },
   {
     name: 'a hang-up cancels the work',
-    file: 'packages/entry/src/work/work.ts',
+    file: 'packages/entry/src/work/callRun.ts',
     find: '      this.stop.abort();\n',
     put: '',
     spec: 'packages/proof/src/silence',
