--- a/packages/entry/src/answer/answer.ts
+++ b/packages/entry/src/answer/answer.ts
@@ -85,7 +85,7 @@
     return this.started;
   }
 
-  /** Whether the target answered with an error for which another target may be tried. */
+  /** Whether the target answered with an error, or can't continue the started answer, so that another may be tried. */
   get hasTargetError(): boolean {
     return this.isIncompatible || (!this.started && RETRY_STATUSES.has(this.status));
   }
--- a/packages/entry/src/gate/attempt.ts
+++ b/packages/entry/src/gate/attempt.ts
@@ -40,14 +40,14 @@
 }
 
 /** Delay between two attempts to resume a stream. */
-const RESUME_PAUSE_MS = 100;
+const RESUME_DELAY_MS = 100;
 
 /** Opens an event stream that ends when the signal aborts. */
 type StreamOpener = (signal: AbortSignal) => AsyncIterable<gateMessage.RunEvent>;
 
 /**
- * For a gate that does not answer but may have the attempt: cancelling could stop a run whose answer is still
- * available later.
+ * For a gate that does not answer but may have the attempt: cancelling could stop a run whose answer can still
+ * be fetched later.
  */
 const agentUnresponsive: AttemptOutcome = {
   type: 'failed',
@@ -144,7 +144,7 @@
 
   private async waitBeforeResume(): Promise<void> {
     try {
-      await this.context.clock.sleep(RESUME_PAUSE_MS, this.signal);
+      await this.context.clock.sleep(RESUME_DELAY_MS, this.signal);
     } catch {
       // Aborted: the caller checks the signal.
     }
--- a/packages/entry/src/http/body.ts
+++ b/packages/entry/src/http/body.ts
@@ -17,13 +17,13 @@
   }
 
   /** Reserves bytes. @returns false if the limit would be exceeded. */
-  take(bytes: number): boolean {
+  tryReserve(bytes: number): boolean {
     if (this.usedBytes + bytes > this.maxBytes) return false;
     this.usedBytes += bytes;
     return true;
   }
 
-  give(bytes: number): void {
+  release(bytes: number): void {
     this.usedBytes -= bytes;
   }
 }
@@ -45,12 +45,12 @@
   const parts: Buffer[] = [];
   let size = 0;
   const release = (): void => {
-    budget.give(size);
+    budget.release(size);
     size = 0;
   };
   try {
     for await (const part of incoming as AsyncIterable<Buffer>) {
-      if (!budget.take(part.length)) {
+      if (!budget.tryReserve(part.length)) {
         release();
         return err(fault('overloaded', 'this entry is buffering too many request bodies'));
       }
--- a/packages/entry/src/http/reply.ts
+++ b/packages/entry/src/http/reply.ts
@@ -48,7 +48,7 @@
   private readonly startedAt: number;
   private isEventStream = false;
   private fault: Fault | undefined;
-  private wasCut = false;
+  private hasStalled = false;
   private firstWriteAt: number | undefined;
   /** Monotonic time of the last write. */
   private lastWriteAt = 0;
@@ -82,7 +82,7 @@
 
   /** Whether the connection was closed because the caller read nothing. */
   get stalled(): boolean {
-    return this.wasCut;
+    return this.hasStalled;
   }
 
   /** The fault that ended the answer, if any. */
@@ -201,7 +201,7 @@
 
   private async waitForDrain(): Promise<void> {
     const cancelTimer = this.clock.after(this.stallMs, () => {
-      this.wasCut = true;
+      this.hasStalled = true;
       this.hangUp.abort(new Error('stalled'));
       this.response.destroy();
     });
--- a/packages/entry/src/work/attempts.ts
+++ b/packages/entry/src/work/attempts.ts
@@ -75,10 +75,10 @@
   }
 
   private async next(plan: AttemptPlan): Promise<NextAttempt> {
-    const { call, span, stop, remaining } = this.active;
+    const { call, span, stop, remainingMs } = this.active;
     this.attemptCount += 1;
     const model = this.currentModel();
-    const job = jobOf(call, model, this.promptOf(plan), this.excluded, remaining());
+    const job = jobOf(call, model, this.promptOf(plan), this.excluded, remainingMs());
     const decide = startHop('decide', 'internal', { parent: span });
     const placed = await this.place(model, job);
     endHop(decide, placed.isErr() ? placed.error.kind : undefined);
--- a/packages/entry/src/work/callRun.ts
+++ b/packages/entry/src/work/callRun.ts
@@ -28,7 +28,7 @@
       reply,
       span,
       stop: this.stop.signal,
-      remaining: () => Math.max(1, Math.round(this.deadline - context.clock.monotonic())),
+      remainingMs: () => Math.max(1, Math.round(this.deadline - context.clock.monotonic())),
     });
   }
 
--- a/packages/entry/src/work/plan.ts
+++ b/packages/entry/src/work/plan.ts
@@ -14,7 +14,7 @@
   /** Aborts when the call is abandoned: the caller disconnected, or the deadline passed. */
   readonly stop: AbortSignal;
   /** Milliseconds until the deadline, at least 1. */
-  readonly remaining: () => number;
+  readonly remainingMs: () => number;
 }
 
 /** The request body of the next attempt. */
--- a/packages/entry/src/work/sender.ts
+++ b/packages/entry/src/work/sender.ts
@@ -87,7 +87,7 @@
   }
 
   private createMessage({ plan, job, placement, ref }: PlacedAttempt, hop: HopSpan): gateMessage.RunRequest {
-    const { call, remaining } = this.active;
+    const { call, remainingMs } = this.active;
     return create(gateMessage.RunRequestSchema, {
       ...ref,
       service: call.service.service,
@@ -100,7 +100,7 @@
       headers: withTraceContext(call.headers, carrierOf(hop)),
       body: plan.body,
       priority: call.priority,
-      deadlineMs: remaining(),
+      deadlineMs: remainingMs(),
       idempotent: call.idempotent,
       resumeTokens: plan.tokens,
       chain: encodeChain(job.chain),
