--- a/packages/entry/src/answer/progress.ts
+++ b/packages/entry/src/answer/progress.ts
@@ -1,9 +1,9 @@
-/** How far a streamed answer has come, read from the bytes that the caller has. */
+/** The progress of a streamed answer, parsed from the bytes sent to the caller. */
 import { createParser } from 'eventsource-parser';
 import * as z from 'zod';
 
-/** Data of the event that ends an answer. */
-export const DONE = '[DONE]';
+/** Data of the event that ends a stream. */
+export const DONE_DATA = '[DONE]';
 
 const usage = z.looseObject({
   prompt_tokens: z.number().optional(),
@@ -18,7 +18,7 @@
   finish_reason: z.string().nullish(),
 });
 
-/** One event of a streamed answer, as far as it is read here. */
+/** One event of a streamed answer; only the fields used here. */
 export const chunkBody = z.looseObject({
   id: z.string().optional(),
   created: z.number().optional(),
@@ -31,33 +31,33 @@
 export type ChunkBody = z.output<typeof chunkBody>;
 export type ChunkChoice = z.output<typeof choice>;
 
-/** Where a streamed answer stands. */
+/** What the caller has of a streamed answer. */
 export interface Progress {
   /** Output text so far. */
   readonly text: string;
-  /** Output tokens so far: events with text. */
+  /** Output tokens so far, counted as events with text. */
   readonly tokens: number;
   /** Events so far. */
   readonly events: number;
   /** Whether events carry `id:` lines. */
-  readonly numbered: boolean;
-  /** Fields of the first event, which all events of one answer share. */
+  readonly hasEventIds: boolean;
+  /** Fields of the first event that all events of an answer share. */
   readonly first: Pick<ChunkBody, 'id' | 'created' | 'model'>;
-  /** The caller has been told the role of the answer. */
+  /** Whether the role of the message was sent. */
   readonly roleSent: boolean;
-  /** The model finished; only what follows the last token is missing. */
+  /** Whether the model finished; at most the events after the last token are missing. */
   readonly finished: boolean;
-  /** The caller has the usage figures. */
+  /** Whether the usage figures were sent. */
   readonly usageSent: boolean;
-  /** The end marker was sent. */
+  /** Whether the end marker was sent. */
   readonly done: boolean;
-  /** Nothing but one choice of plain text came: only that can be continued. */
-  readonly plainText: boolean;
+  /** Whether the answer is one choice of plain text; only such an answer can be continued. */
+  readonly isPlainText: boolean;
 }
 
-type Draft = { -readonly [Key in keyof Progress]: Progress[Key] };
+type MutableProgress = { -readonly [Key in keyof Progress]: Progress[Key] };
 
-const TEXT_FIELDS = new Set([
+const OUTPUT_FIELDS = new Set([
   'role',
   'content',
   'refusal',
@@ -65,26 +65,26 @@
   'tool_calls',
   'function_call',
 ]);
-const PLAIN_FIELDS = new Set(['role', 'content']);
+const PLAIN_TEXT_FIELDS = new Set(['role', 'content']);
 
-/** Reads the events that were sent. Only done when a stream breaks: the hot path never parses. */
+/** Parses the events that were sent. Done only when a stream breaks, so that the hot path never parses. */
 export function readProgress(sent: readonly Uint8Array[]): Progress {
-  const draft: Draft = {
+  const draft: MutableProgress = {
     text: '',
     tokens: 0,
     events: 0,
-    numbered: false,
+    hasEventIds: false,
     first: {},
     roleSent: false,
     finished: false,
     usageSent: false,
     done: false,
-    plainText: true,
+    isPlainText: true,
   };
   const parser = createParser({
     onEvent: (event) => {
-      if (event.id !== undefined) draft.numbered = true;
-      takeEvent(draft, event.data);
+      if (event.id !== undefined) draft.hasEventIds = true;
+      applyEvent(draft, event.data);
     },
   });
   const decoder = new TextDecoder();
@@ -92,27 +92,27 @@
   return draft;
 }
 
-function takeEvent(draft: Draft, data: string): void {
+function applyEvent(draft: MutableProgress, data: string): void {
   draft.events += 1;
-  if (data === DONE) {
+  if (data === DONE_DATA) {
     draft.done = true;
     return;
   }
   const body = parseChunk(data);
   if (body === undefined || body.error !== undefined) {
-    draft.plainText = false;
+    draft.isPlainText = false;
     return;
   }
   if (draft.events === 1) draft.first = { id: body.id, created: body.created, model: body.model };
   if (body.usage !== undefined && body.usage !== null) draft.usageSent = true;
   const choices = body.choices ?? [];
-  if (choices.length > 1) draft.plainText = false;
+  if (choices.length > 1) draft.isPlainText = false;
   const [only] = choices;
-  if (only !== undefined) takeChoice(draft, only);
+  if (only !== undefined) applyChoice(draft, only);
 }
 
-function takeChoice(draft: Draft, only: ChunkChoice): void {
-  if ((only.index ?? 0) !== 0 || !plainDelta(only)) draft.plainText = false;
+function applyChoice(draft: MutableProgress, only: ChunkChoice): void {
+  if ((only.index ?? 0) !== 0 || !isPlainDelta(only)) draft.isPlainText = false;
   const text = only.text ?? only.delta?.content ?? '';
   if (text !== '') draft.tokens += 1;
   draft.text += text;
@@ -120,15 +120,15 @@
   if (typeof only.finish_reason === 'string') draft.finished = true;
 }
 
-function plainDelta({ delta }: ChunkChoice): boolean {
+function isPlainDelta({ delta }: ChunkChoice): boolean {
   if (delta === undefined) return true;
   return Object.entries(delta).every(
     ([name, value]) =>
-      PLAIN_FIELDS.has(name) || !TEXT_FIELDS.has(name) || value === null || value === undefined,
+      PLAIN_TEXT_FIELDS.has(name) || !OUTPUT_FIELDS.has(name) || value === null || value === undefined,
   );
 }
 
-/** Reads one event's data, or undefined when it is not one of this API. */
+/** Parses the data of one event; undefined if it is not a chunk of this API. */
 export function parseChunk(data: string): ChunkBody | undefined {
   try {
     const parsed = chunkBody.safeParse(JSON.parse(data));
--- a/packages/entry/src/call/header.ts
+++ b/packages/entry/src/call/header.ts
@@ -1,4 +1,4 @@
-/** Reads and checks the header fields of a caller's request. */
+/** Parses and validates the header fields of a caller's request. */
 import type { IncomingMessage } from 'node:http';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -17,7 +17,7 @@
 const BEARER = /^Bearer +([\x21-\x7e]{1,512})$/i;
 const DEADLINE = /^\d{1,9}$/;
 
-/** Fields that mean two things when sent twice: this process and a target could read different ones. */
+/** Fields that are ambiguous when repeated: this process and a target could use different values. */
 const SINGLE_FIELDS = new Set([
   'authorization',
   'content-length',
@@ -29,8 +29,8 @@
   IDEMPOTENCY_HEADER,
 ]);
 
-/** Fields that end here: of one connection, or for the entry itself. */
-const ENTRY_FIELDS = new Set([
+/** Fields that are not forwarded: they belong to the connection or are meant for the entry. */
+const NOT_FORWARDED_FIELDS = new Set([
   'authorization',
   'connection',
   'content-length',
@@ -47,20 +47,20 @@
   REQUEST_ID_HEADER,
 ]);
 
-/** The caller's request id if it is a valid one, else a fresh one. */
+/** The caller's request id if it is valid, otherwise a new one. */
 export function requestIdOf(incoming: IncomingMessage): string {
-  const given = incoming.headers[REQUEST_ID_HEADER];
-  return typeof given === 'string' && REQUEST_ID.test(given) ? given : newId('req');
+  const requestId = incoming.headers[REQUEST_ID_HEADER];
+  return typeof requestId === 'string' && REQUEST_ID.test(requestId) ? requestId : newId('req');
 }
 
 /** Trace context of a request. */
-export function carrierIn(incoming: IncomingMessage): Carrier {
+export function traceContextOf(incoming: IncomingMessage): Carrier {
   const { traceparent, tracestate } = incoming.headers;
   if (typeof traceparent !== 'string') return {};
   return typeof tracestate === 'string' ? { traceparent, tracestate } : { traceparent };
 }
 
-/** Checks the head of a request. */
+/** Parses and validates the head of a request. */
 export function readHead(incoming: IncomingMessage, requestId: string): Result<CallerRequest, Fault> {
   const fields = fieldsOf(incoming);
   const repeated = repeatedField(fields);
@@ -76,7 +76,7 @@
     method: incoming.method ?? 'GET',
     path: incoming.url ?? '/',
     host: single.get('host'),
-    headers: forwarded(fields, single.get('connection')),
+    headers: forwardedFields(fields, single.get('connection')),
     key,
     idempotencyKey: single.get(IDEMPOTENCY_HEADER),
     deadlineMs: deadline === undefined ? undefined : Number(deadline),
@@ -105,27 +105,27 @@
   if (!fields.has('host')) return fault('invalid-request', 'header Host is missing');
   const id = fields.get(REQUEST_ID_HEADER);
   if (id !== undefined && !REQUEST_ID.test(id)) {
-    return fault('invalid-request', 'X-Request-Id takes 1 to 128 of letters, digits, ".", "_", ":" and "-"');
+    return fault('invalid-request', 'X-Request-Id must be 1 to 128 letters, digits, ".", "_", ":" or "-"');
   }
   const key = fields.get(IDEMPOTENCY_HEADER);
   if (key !== undefined && !IDEMPOTENCY_KEY.test(key)) {
     return fault(
       'invalid-request',
-      'Idempotency-Key takes 1 to 255 printable ASCII characters without spaces',
+      'Idempotency-Key must be 1 to 255 printable ASCII characters without spaces',
     );
   }
   const deadline = fields.get(DEADLINE_HEADER);
   if (deadline !== undefined && (!DEADLINE.test(deadline) || Number(deadline) === 0)) {
     return fault(
       'invalid-request',
-      'X-Request-Deadline-Ms takes the milliseconds that remain, 1 to 999999999',
+      'X-Request-Deadline-Ms must be the remaining milliseconds, 1 to 999999999',
     );
   }
   return undefined;
 }
 
-/** Leaves out what ends here, and what the `Connection` field names. */
-function forwarded(fields: readonly HeaderField[], connection = ''): HeaderField[] {
+/** The fields to forward, without those for the entry and those that the `Connection` field names. */
+function forwardedFields(fields: readonly HeaderField[], connection = ''): HeaderField[] {
   const named = new Set(connection.split(',').map((name) => name.trim().toLowerCase()));
-  return fields.filter(({ name }) => !ENTRY_FIELDS.has(name) && !named.has(name));
+  return fields.filter(({ name }) => !NOT_FORWARDED_FIELDS.has(name) && !named.has(name));
 }
--- a/packages/entry/src/claim/claims.ts
+++ b/packages/entry/src/claim/claims.ts
@@ -1,4 +1,7 @@
-/** At most once: claims on keys before the first byte goes to a target, and their settlement. */
+/**
+ * At-most-once execution: a claim on the call's key is acquired before the first byte goes to a target, and settled
+ * later.
+ */
 import { createHash } from 'node:crypto';
 import type { Result } from 'neverthrow';
 import { fault } from '@jasmineroute/core';
@@ -8,55 +11,55 @@
 import type { KeptAnswer } from '../answer/index.js';
 import type { Call } from '../call/index.js';
 import { entryMetrics } from '../metrics.js';
-import { holderOf, holderText, originOf } from './attemptId.js';
-import type { Holder } from './attemptId.js';
+import { decodeHolder, encodeHolder, parseAttemptId } from './attemptId.js';
+import type { ClaimHolder } from './attemptId.js';
 import { Settler } from './settler.js';
 
-/** What is sent to take a claim. */
+/** Request to acquire a claim. */
 export type ClaimMessage = Omit<controlMessage.ClaimRequest, '$typeName'>;
-/** What is sent to settle one. */
+/** Request to settle a claim. */
 export type SettleMessage = Omit<controlMessage.SettleRequest, '$typeName' | 'answer'> & {
   readonly answer?: KeptAnswer;
 };
 
-/** Where claims are held: a quorum of control instances. */
+/** Store of the claims, replicated by a quorum of the control instances. */
 export interface ClaimStore {
   claim(request: ClaimMessage, timeoutMs: number): Promise<Result<controlMessage.ClaimResponse, Fault>>;
   settle(request: SettleMessage, timeoutMs: number): Promise<Result<unknown, Fault>>;
 }
 
 /** An attempt whose entry is gone. */
-export interface Orphan {
+export interface OrphanedAttempt {
   readonly attemptId: string;
   readonly requestId: string;
-  /** Agent and target's incarnation that the attempt was sent to. */
-  readonly holder: Holder;
+  /** The agent, and the incarnation of its target, that the attempt was sent to. */
+  readonly holder: ClaimHolder;
 }
 
-/** What became of asking for a key. */
-export type Verdict =
+/** Result of trying to acquire a claim. */
+export type ClaimResult =
   | { readonly type: 'granted' }
-  /** The first attempt's answer. */
+  /** The call has run before; this is the stored answer. */
   | { readonly type: 'replay'; readonly answer: KeptAnswer }
-  /** The entry that holds the key is gone; the agent may know how the attempt went. */
-  | ({ readonly type: 'orphan' } & Orphan)
+  /** The entry that holds the claim is gone; the agent may know the outcome of its attempt. */
+  | ({ readonly type: 'orphan' } & OrphanedAttempt)
   | { readonly type: 'refused'; readonly fault: Fault };
 
-/** How a claimed attempt went. */
-export type Settled =
+/** Outcome of an attempt under a claim. */
+export type AttemptSettlement =
   | { readonly type: 'released' }
   | { readonly type: 'unknown' }
   | { readonly type: 'done'; readonly answer: KeptAnswer | undefined };
 
-const settlements: Record<Settled['type'], controlMessage.Settlement> = {
+const settlementCodes: Record<AttemptSettlement['type'], controlMessage.Settlement> = {
   released: controlMessage.Settlement.RELEASED,
   unknown: controlMessage.Settlement.UNKNOWN,
   done: controlMessage.Settlement.DONE,
 };
 
-const refused = (reason: Fault): Verdict => ({ type: 'refused', fault: reason });
+const refused = (reason: Fault): ClaimResult => ({ type: 'refused', fault: reason });
 
-/** What a call's claim works with. */
+/** Dependencies of `Claims`. */
 export interface ClaimContext {
   readonly store: ClaimStore;
   readonly view: () => View;
@@ -66,12 +69,12 @@
   readonly timeoutMs: number;
 }
 
-/** Hash that tells whether a key comes again with the same request. */
+/** Hash that shows whether a key is reused for a different request. */
 export function fingerprintOf(call: Call): Uint8Array {
   return createHash('sha256').update(`${call.method} ${call.path}\n`).update(call.body).digest();
 }
 
-/** Takes and settles the claims of one entry. */
+/** Acquires and settles claims for one entry. */
 export class Claims {
   private readonly settler: Settler;
 
@@ -79,8 +82,8 @@
     this.settler = new Settler(context.clock, context.log);
   }
 
-  /** Asks for the call's key. */
-  async take(call: Call, attemptId: string, holder: Holder): Promise<Verdict> {
+  /** Tries to acquire a claim on the call's key. */
+  async acquire(call: Call, attemptId: string, holder: ClaimHolder): Promise<ClaimResult> {
     const { store, clock, metrics, timeoutMs } = this.context;
     const began = clock.monotonic();
     const answer = await store.claim(
@@ -91,71 +94,78 @@
         attemptId,
         fingerprint: fingerprintOf(call),
         windowMs: BigInt(call.service.claims.window),
-        agent: holderText(holder),
+        agent: encodeHolder(holder),
       },
       Math.min(timeoutMs, call.deadlineMs),
     );
     metrics.timing(entryMetrics.claims, clock.monotonic() - began);
-    if (answer.isOk()) return this.verdict(answer.value, attemptId);
-    // The claim may be held although its answer was lost: without this the key would stay taken for nothing.
+    if (answer.isOk()) return this.resultOf(answer.value, attemptId);
+    // The claim may have been stored although the response was lost. Without a release the key would stay claimed.
     if (answer.error.ran !== 'not-run') void this.settle(call, attemptId, { type: 'released' });
     const { message, retryAfterMs } = answer.error;
     return refused(fault('claims-unavailable', message, { ran: 'not-run', retryAfterMs }));
   }
 
-  /** Records how an attempt went, however long that takes. Resolves when recorded or given up. */
-  settle(call: Call, attemptId: string, settled: Settled): Promise<void> {
+  /** Records the outcome of an attempt, retrying as long as needed. Resolves when it is recorded or dropped. */
+  settle(call: Call, attemptId: string, settlement: AttemptSettlement): Promise<void> {
     const { store, timeoutMs } = this.context;
     const message: SettleMessage = {
       service: call.service.service,
       customer: call.customer,
       key: call.claimKey,
       attemptId,
-      settlement: settlements[settled.type],
-      answer: settled.type === 'done' ? settled.answer : undefined,
+      settlement: settlementCodes[settlement.type],
+      answer: settlement.type === 'done' ? settlement.answer : undefined,
     };
     return this.settler.settle({ attemptId, send: () => store.settle(message, timeoutMs) });
   }
 
-  /** Resolves when all outcomes are recorded, or after `ms`. */
+  /** Resolves when all outcomes are recorded, or after `ms` at the latest. */
   idle(ms: number): Promise<void> {
     return this.settler.idle(ms);
   }
 
-  private verdict(answer: controlMessage.ClaimResponse, attemptId: string): Verdict {
+  private resultOf(answer: controlMessage.ClaimResponse, attemptId: string): ClaimResult {
     switch (answer.state) {
       case controlMessage.ClaimState.GRANTED:
         return { type: 'granted' };
       case controlMessage.ClaimState.RUNNING:
-        return this.running(answer, attemptId);
+        return this.resultOfRunning(answer, attemptId);
       case controlMessage.ClaimState.DONE:
-        return this.done(answer);
+        return this.resultOfDone(answer);
       case controlMessage.ClaimState.MISMATCH:
-        return refused(fault('key-reused', 'the key was used for another request; this one has not run'));
+        return refused(
+          fault('key-reused', 'the key was already used for a different request; this one was not run'),
+        );
       case controlMessage.ClaimState.UNKNOWN:
       default:
         return refused(
-          fault('outcome-unknown', 'the first request with this key may have run; it is not run again'),
+          fault('outcome-unknown', 'the first request with this key may have run; it will not be run again'),
         );
     }
   }
 
-  private done({ answer }: controlMessage.ClaimResponse): Verdict {
+  private resultOfDone({ answer }: controlMessage.ClaimResponse): ClaimResult {
     if (answer !== undefined) return { type: 'replay', answer };
-    return refused(fault('answer-not-kept', 'the first request with this key ran; its answer was not kept'));
+    return refused(
+      fault('answer-not-kept', 'the first request with this key ran; its answer was not stored'),
+    );
   }
 
-  private running({ attemptId, agent }: controlMessage.ClaimResponse, own: string): Verdict {
-    if (attemptId === own) return { type: 'granted' };
-    const origin = originOf(attemptId);
-    if (origin === undefined || this.alive(origin.entry, origin.incarnation)) {
+  private resultOfRunning(
+    { attemptId, agent }: controlMessage.ClaimResponse,
+    ownAttemptId: string,
+  ): ClaimResult {
+    if (attemptId === ownAttemptId) return { type: 'granted' };
+    const origin = parseAttemptId(attemptId);
+    if (origin === undefined || this.mayBeRunning(origin.entry, origin.incarnation)) {
       return refused(fault('already-running', 'the first request with this key is still running'));
     }
-    return { type: 'orphan', attemptId, requestId: origin.requestId, holder: holderOf(agent) };
+    return { type: 'orphan', attemptId, requestId: origin.requestId, holder: decodeHolder(agent) };
   }
 
-  /** Whether the process that holds a claim may still be at work. Only a newer start of it, or its end, says no. */
-  private alive(entry: string, incarnation: bigint): boolean {
+  /** Whether the process that holds a claim may still be running it: false only if it was restarted or is down. */
+  private mayBeRunning(entry: string, incarnation: bigint): boolean {
     const instance = this.context.view().instances.get(entry);
     if (instance === undefined) return false;
     return instance.incarnation === incarnation && instance.health !== 'down';
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -1,4 +1,4 @@
-/** The entry role: callers in, decisions, streams out. */
+/** The entry role: accepts callers' requests, chooses targets and streams the answers. */
 import { ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { ConnectRouter } from '@connectrpc/connect';
@@ -12,15 +12,15 @@
 import type { ClaimStore } from './claim/index.js';
 import { entryEvents } from './events.js';
 import { GateClients } from './gate/index.js';
-import { CallerServer, Callers, createApp, listenerOf } from './http/index.js';
+import { CallerServer, RequestHandler, createApp, listenerOf } from './http/index.js';
 import { entryMetrics } from './metrics.js';
 import type { EntrySettings } from './setting/index.js';
-import { Admissions, Background, Decisions } from './work/index.js';
-import type { WorkContext } from './work/index.js';
+import { Admissions, BackgroundTasks, Decisions } from './work/index.js';
+import type { EntryContext } from './work/index.js';
 
-/** An entry in a process. */
+/** A running entry. */
 export interface EntryProcess extends RoleProcess {
-  /** host:port that callers reach; known after `start`. */
+  /** host:port of the listener for callers; available after `start`. */
   httpAddress(): string;
 }
 
@@ -31,32 +31,35 @@
   stop(): Promise<void>;
 }
 
-/** What an entry gets its knowledge and its claims from; tests give their own. */
-export interface EntryParts {
+/** Directory and claim store of an entry; tests inject their own. */
+export interface EntryDependencies {
   readonly directory: EntryDirectory;
   readonly claims: ClaimStore;
 }
 
-/** Retries for each request, and how many may be saved up: enough for all streams of a lost target at once. */
+/**
+ * Retry budget: retries for each request, and the maximum saved up, enough to retry all streams of a lost target at
+ * once.
+ */
 const RETRY_SHARE = 0.2;
 const RETRY_BURST = 512;
 const GAUGE_INTERVAL_MS = 5_000;
-/** How long a planned stop waits for outcomes of claimed calls to be recorded, milliseconds. */
-const LAST_OUTCOMES_MS = 10_000;
-/** How long a planned stop waits for new connections to cease, milliseconds. */
-const LAST_CONNECTIONS_MS = 5_000;
+/** Maximum time for which a planned stop waits until the outcomes of claimed calls are recorded, milliseconds. */
+const SETTLE_TIMEOUT_MS = 10_000;
+/** Maximum time for which a planned stop waits for new connections to cease, milliseconds. */
+const ACCEPT_WAIT_MS = 5_000;
 
-/** Makes the entry role. */
+/** Creates an entry. */
 export async function createEntry(
   context: RoleContext,
   settings: EntrySettings,
-  parts: EntryParts = partsOf(context),
+  parts: EntryDependencies = defaultDependencies(context),
 ): Promise<Result<EntryProcess, Fault>> {
   await loadHasher();
   return ok(new Entry(context, settings, parts));
 }
 
-function partsOf(context: RoleContext): EntryParts {
+function defaultDependencies(context: RoleContext): EntryDependencies {
   const { name, incarnation, controls, peers, clock, log, metrics, dataFolder, dataCentre } = context;
   const directory = new DirectoryClient({
     name,
@@ -75,7 +78,7 @@
   return { directory, claims: store };
 }
 
-/** Seed from a name, so that two entries don't choose in step. */
+/** Derives a random seed from a name, so that entries do not make the same random choices. */
 export function seedOf(name: string): number {
   let seed = 0;
   for (const character of name) seed = (seed * 31 + (character.codePointAt(0) ?? 0)) >>> 0;
@@ -83,22 +86,25 @@
 }
 
 class Entry implements EntryProcess {
-  private readonly work: WorkContext;
-  private readonly callers: Callers;
+  private readonly work: EntryContext;
+  private readonly callers: RequestHandler;
   private readonly server: CallerServer;
   private readonly stopped = new AbortController();
   private address = '';
   private draining = false;
-  /** Aborted at the start of a planned stop: neighbours that watch this entry move on. */
+  /**
+   * Aborted at the start of a planned stop, so that neighbours that subscribe to this entry's view switch to
+   * another one.
+   */
   private readonly leaving = new AbortController();
 
   constructor(
     private readonly context: RoleContext,
     private readonly settings: EntrySettings,
-    private readonly parts: EntryParts,
+    private readonly parts: EntryDependencies,
   ) {
-    this.work = this.createWork();
-    this.callers = new Callers(this.work);
+    this.work = this.createContext();
+    this.callers = new RequestHandler(this.work);
     const app = createApp({
       readiness: () => this.readiness(),
       models: (bindings) => this.callers.models(bindings),
@@ -108,7 +114,7 @@
     this.server = new CallerServer(listenerOf(app, settings.httpHost), settings, clock, stalls, log);
   }
 
-  /** Serves its view to neighbours that can't reach a control instance. */
+  /** Serves this entry's view to neighbours that can't reach a control instance. */
   routes(router: ConnectRouter): void {
     serveDirectory(router, viewSource(this.parts.directory, this.context.clock, this.leaving.signal));
   }
@@ -133,18 +139,18 @@
     return { ready: true, reason: 'serving' };
   }
 
-  /** Unready first, then goes on accepting until the balancer has noticed, then finishes all that is open. */
+  /** Reports unready, keeps accepting requests until load balancers have noticed, then finishes all open requests. */
   async drain(): Promise<void> {
     const { clock, log } = this.context;
     this.draining = true;
     this.server.turnAway();
     this.leaving.abort(new Error('stopping'));
-    log.event(entryEvents.draining, { open: this.callers.count });
+    log.event(entryEvents.draining, { open: this.callers.openRequests });
     await clock.sleep(this.settings.drainDelayMs);
     await this.parts.directory.leave();
-    await this.server.drain(LAST_CONNECTIONS_MS);
+    await this.server.drain(ACCEPT_WAIT_MS);
     await this.work.background.idle();
-    await this.work.claims.idle(LAST_OUTCOMES_MS);
+    await this.work.claims.idle(SETTLE_TIMEOUT_MS);
     log.event(entryEvents.drained);
   }
 
@@ -154,7 +160,7 @@
     await this.parts.directory.stop();
   }
 
-  private createWork(): WorkContext {
+  private createContext(): EntryContext {
     const { name, incarnation, dataCentre, peers, clock, stalls, log, metrics } = this.context;
     const { settings } = this;
     const view = () => this.parts.directory.view();
@@ -169,7 +175,7 @@
       admissions: new Admissions(view, clock),
       budget: new RetryBudget({ share: RETRY_SHARE, burst: RETRY_BURST }),
       attemptIds: new AttemptIds(name, incarnation),
-      background: new Background(),
+      background: new BackgroundTasks(),
       view,
       clock,
       stalls,
@@ -181,7 +187,7 @@
   private async reportGauges(): Promise<void> {
     const { clock, metrics } = this.context;
     while (!this.stopped.signal.aborted) {
-      metrics.gauge(entryMetrics.open, this.callers.count);
+      metrics.gauge(entryMetrics.open, this.callers.openRequests);
       metrics.gauge(entryMetrics.connections, this.server.connections);
       metrics.gauge(entryMetrics.bufferedBytes, this.callers.bufferedBytes);
       try {
--- a/packages/entry/src/http/drain.spec.ts
+++ b/packages/entry/src/http/drain.spec.ts
@@ -1,24 +1,27 @@
 import { Agent, request } from 'node:http';
 import { connect } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
-import { FakeGate, accepted, chunk, delta, doneEvent, end, head, sse } from '../testing/gate.js';
-import type { Step } from '../testing/gate.js';
-import { KEY, chat, modelDocument, startWorld, target, until } from '../testing/world.js';
-import type { World } from '../testing/world.js';
+import { FakeGate, accepted, chunk, delta, doneEvent, end, head, sse } from '../testing/fakeGate.js';
+import type { ScriptStep } from '../testing/fakeGate.js';
+import { KEY, chat, modelDocument, startTestEntry, target, waitUntil } from '../testing/testEntry.js';
+import type { TestEntry } from '../testing/testEntry.js';
 
 const gates: FakeGate[] = [];
-let world: World | undefined;
+let testEntry: TestEntry | undefined;
 
-async function start(script: () => Step[], settings: object = {}): Promise<World & { gate: FakeGate }> {
+async function start(
+  script: () => ScriptStep[],
+  settings: object = {},
+): Promise<TestEntry & { gate: FakeGate }> {
   const gate = new FakeGate();
   await gate.start();
   gates.push(gate);
   gate.script = script;
-  world = await startWorld([modelDocument()], [target('agent', gate.address)], settings);
-  return { ...world, gate };
+  testEntry = await startTestEntry([modelDocument()], [target('agent', gate.address)], settings);
+  return { ...testEntry, gate };
 }
 
-function opening(): { readonly step: Step; readonly open: () => void } {
+function createLatch(): { readonly step: ScriptStep; readonly open: () => void } {
   let open: () => void = () => undefined;
   const promise = new Promise<void>((resolve) => {
     open = resolve;
@@ -32,18 +35,17 @@
 }
 
 afterEach(async () => {
-  await world?.close();
+  await testEntry?.close();
   await Promise.all(gates.splice(0).map((one) => one.close()));
 });
 
 describe('a planned stop', () => {
-  it('is unready first, goes on accepting, and finishes every stream', async () => {
-    // Symptom: a rolling restart cuts requests.
-    // Sequence: the process is told to stop while a stream runs and the balancer still sends new requests.
-    // Cause: a listener that closes before the balancer has noticed refuses what is on its way.
-    const gateway = opening();
+  // Guards against a rolling restart that fails requests. The stop begins while a stream runs and the load balancer
+  // still sends new requests; a listener that closes before the balancer has noticed refuses them.
+  it('reports unready first, keeps accepting, and finishes every stream', async () => {
+    const latch = createLatch();
     const { url, entry, directory } = await start(
-      () => [accepted, sse, chunk(delta('a')), gateway.step, chunk(doneEvent), end],
+      () => [accepted, sse, chunk(delta('a')), latch.step, chunk(doneEvent), end],
       { drainDelayMs: 300 },
     );
     const running = await chat(url);
@@ -53,21 +55,20 @@
     expect((await fetch(`${url}/healthz`)).status).toBe(200);
     const late = await chat(url);
     expect(late.headers.get('connection')).toBe('close');
-    await until(() => directory.left);
+    await waitUntil(() => directory.left);
     expect(performance.now() - began).toBeGreaterThanOrEqual(300);
-    gateway.open();
+    latch.open();
     expect(await running.text()).toBe(delta('a') + doneEvent);
     expect(await late.text()).toBe(delta('a') + doneEvent);
     await drained;
     await expect(fetch(`${url}/healthz`)).rejects.toThrow();
   });
 
-  it('does not wait for a connection whose stream began before it', async () => {
-    // Symptom: a planned stop takes as long as idle connections are held.
-    // Sequence: a stream begins, the stop begins, the stream ends; its connection could be used again.
-    // Cause: its head went out before it could say that the connection closes.
-    const gateway = opening();
-    const script = [accepted, sse, chunk(delta('a')), gateway.step, chunk(doneEvent), end];
+  // Guards against a stop that lasts until the keep-alive timeout. A stream starts before the stop and ends
+  // during it; its head was sent too early to carry `Connection: close`, so the connection stays open for reuse.
+  it('does not wait for a connection whose stream started before it', async () => {
+    const latch = createLatch();
+    const script = [accepted, sse, chunk(delta('a')), latch.step, chunk(doneEvent), end];
     const { url, entry, directory } = await start(() => script, { streamSilenceMs: 20_000 });
     const agent = new Agent({ keepAlive: true });
     const body = JSON.stringify({ model: 'm', stream: true, messages: [{ role: 'user', content: 'hi' }] });
@@ -79,13 +80,13 @@
       });
       sent.end(body);
     });
-    await until(() => text !== '');
+    await waitUntil(() => text !== '');
     const drained = entry.drain();
-    await until(() => directory.left);
-    // Past the time in which the stopping entry waits for last connections: its listener is closed.
+    await waitUntil(() => directory.left);
+    // Longer than the draining server waits for new connections, so that its listener is closed.
     const since = performance.now();
-    await until(() => performance.now() - since > 800);
-    gateway.open();
+    await waitUntil(() => performance.now() - since > 800);
+    latch.open();
     await ended;
     const finished = performance.now();
     await drained;
@@ -108,13 +109,12 @@
 });
 
 describe('a slow reader', () => {
-  it('holds up its own target with bounded memory and nobody else', async () => {
-    // Symptom: one caller that reads slowly makes the entry grow, or others stand still.
-    // Sequence: a caller stops reading a long stream; another one streams from the same target.
-    // Cause: both streams share one connection to the gate.
+  // Guards against one slow caller that makes the entry's memory grow or blocks other callers. A caller stops reading a
+  // long stream while another one streams from the same target, and both streams share a connection to the gate.
+  it('slows down only its own stream, with bounded memory', async () => {
     const length = 1_000;
     let taken = 0;
-    const count: Step = {
+    const count: ScriptStep = {
       case: 'reached',
       action: () => {
         taken += 1;
@@ -135,30 +135,29 @@
       `POST /v1/chat/completions HTTP/1.1\r\n${fields}\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
     );
     let before = -1;
-    await until(() => {
+    await waitUntil(() => {
       const still = taken > 0 && taken === before;
       before = taken;
       return still;
     });
     expect(taken).toBeLessThan(length);
     expect(await (await chat(url)).text()).toBe(delta('quick') + doneEvent);
-    // Longer than the bound on silence: a stream that is not read is not a silent one.
+    // Longer than `streamSilenceMs`: a stream that is not being read must not count as silent.
     const since = performance.now();
-    await until(() => performance.now() - since > 700);
+    await waitUntil(() => performance.now() - since > 700);
     let text = '';
     slow.on('data', (bytes: Buffer) => {
       text = (text + bytes.toString('latin1')).slice(-100);
     });
     slow.resume();
-    await until(() => text.includes('[DONE]'));
+    await waitUntil(() => text.includes('[DONE]'));
     expect(gate.resumes).toHaveLength(0);
     slow.destroy();
   });
 
-  it('is cut when it takes nothing for too long', async () => {
-    // Symptom: an entry holds streams for callers that are long gone.
-    // Sequence: the connection to a caller goes silent in the middle of an answer.
-    // Cause: nothing ever closes such a connection; only bytes that are not taken show it.
+  // Guards against streams that are kept for callers that are long gone. A connection to a caller goes silent in the
+  // middle of an answer without being closed; only the unread bytes reveal it.
+  it('is disconnected when it reads nothing for too long', async () => {
     const many = Array.from({ length: 1_000 }, () => chunk(delta('x'.repeat(8_000))));
     const { gate, entry } = await start(() => [accepted, sse, ...many, chunk(doneEvent), end], {
       callerStallMs: 200,
@@ -172,27 +171,30 @@
     stalled.write(
       `POST /v1/chat/completions HTTP/1.1\r\n${fields}\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
     );
-    await until(() => gate.cancels.length === 1);
+    await waitUntil(() => gate.cancels.length === 1);
     let closed = false;
     let tail = '';
     stalled.on('close', () => (closed = true));
     stalled.on('data', (bytes: Buffer) => (tail = (tail + bytes.toString('latin1')).slice(-100)));
     stalled.resume();
-    await until(() => closed);
+    await waitUntil(() => closed);
     expect(tail).not.toContain('[DONE]');
   });
 });
 
 describe('a quiet stream', () => {
-  it('tells its caller by comments that it lives', async () => {
-    const beat: Step[] = [
+  it('sends comments to show its caller that it is alive', async () => {
+    const heartbeat: ScriptStep[] = [
       { case: 'pause', ms: 60 },
       { case: 'heartbeat', value: {} },
     ];
-    const beats = [...beat, ...beat, ...beat];
-    const { url } = await start(() => [accepted, sse, chunk(delta('a')), ...beats, chunk(doneEvent), end], {
-      callerPingMs: 100,
-    });
+    const heartbeats = [...heartbeat, ...heartbeat, ...heartbeat];
+    const { url } = await start(
+      () => [accepted, sse, chunk(delta('a')), ...heartbeats, chunk(doneEvent), end],
+      {
+        callerPingMs: 100,
+      },
+    );
     const text = await (await chat(url)).text();
     expect(text.startsWith(delta('a'))).toBe(true);
     expect(text).toContain(': ping\n\n');
--- a/packages/entry/src/work/admissions.ts
+++ b/packages/entry/src/work/admissions.ts
@@ -1,16 +1,16 @@
-/** Admission by service, under the documents in force. */
+/** Admission control for each service, following the current documents. */
 import { Admission } from '@jasmineroute/routing';
 import type { AdmissionRules, CustomerRules } from '@jasmineroute/routing';
 import type { Clock } from '@jasmineroute/core';
 import type { Instance, View } from '@jasmineroute/directory';
 import type { RoutedService } from '@jasmineroute/document';
 
-/** Customers' rules live as long as their document. */
+/** Cached customer rules. An entry is garbage-collected together with its document. */
 const customerRules = new WeakMap<RoutedService, ReadonlyMap<string, CustomerRules>>();
 
 function rulesOf(service: RoutedService): ReadonlyMap<string, CustomerRules> {
-  const known = customerRules.get(service);
-  if (known !== undefined) return known;
+  const existing = customerRules.get(service);
+  if (existing !== undefined) return existing;
   const rules = new Map<string, CustomerRules>(
     service.customers.map(({ name, share, limits }) => [name, { share, ...limits }]),
   );
@@ -21,14 +21,14 @@
 const isServing = ({ role, health }: Instance): boolean =>
   role === 'entry' && (health === 'alive' || health === 'suspect');
 
-/** What admission needs of the instances; counted once for each picture of them. */
-interface Census {
+/** Totals over the instances that admission needs; recomputed only when the view has a new map of instances. */
+interface InstanceCounts {
   readonly instances: View['instances'];
   readonly entries: number;
   readonly capacity: ReadonlyMap<string, number>;
 }
 
-function count(instances: View['instances']): Census {
+function countInstances(instances: View['instances']): InstanceCounts {
   let entries = 0;
   const capacity = new Map<string, number>();
   for (const instance of instances.values()) {
@@ -40,30 +40,30 @@
   return { instances, entries: Math.max(1, entries), capacity };
 }
 
-/** One admission for each service. */
+/** Creates and keeps one `Admission` for each service. */
 export class Admissions {
   private readonly admissions = new Map<string, Admission>();
-  private census: Census = count(new Map());
+  private counts: InstanceCounts = countInstances(new Map());
 
   constructor(
     private readonly view: () => View,
     private readonly clock: Clock,
   ) {}
 
-  /** The admission of a service. */
+  /** Admission control of a service, created on first use. */
   of(service: string): Admission {
-    const known = this.admissions.get(service);
-    if (known !== undefined) return known;
-    const made = new Admission({ clock: this.clock, rules: () => this.rules(service) });
-    this.admissions.set(service, made);
-    return made;
+    const existing = this.admissions.get(service);
+    if (existing !== undefined) return existing;
+    const created = new Admission({ clock: this.clock, rules: () => this.rules(service) });
+    this.admissions.set(service, created);
+    return created;
   }
 
   private rules(service: string): AdmissionRules {
     const { documents, instances } = this.view();
-    if (this.census.instances !== instances) this.census = count(instances);
+    if (this.counts.instances !== instances) this.counts = countInstances(instances);
     const document = documents.get(service)?.document;
-    const { entries, capacity } = this.census;
+    const { entries, capacity } = this.counts;
     const shared = { capacity: capacity.get(service) ?? 0, liveEntries: entries };
     if (document === undefined || document.kind === 'control')
       return { customers: new Map(), queue: 0, ...shared };
--- a/packages/entry/src/work/context.ts
+++ b/packages/entry/src/work/context.ts
@@ -1,4 +1,4 @@
-/** What the calls of one entry process share. */
+/** Dependencies that all calls of one entry process share. */
 import type { Clock, Log, Metrics, StallWatch } from '@jasmineroute/core';
 import type { View } from '@jasmineroute/directory';
 import type { RetryBudget } from '@jasmineroute/routing';
@@ -7,10 +7,10 @@
 import type { EntrySettings } from '../setting/index.js';
 import type { Admissions } from './admissions.js';
 import type { Decisions } from './decisions.js';
-import type { Background } from './background.js';
+import type { BackgroundTasks } from './backgroundTasks.js';
 
-/** Shared by all calls. */
-export interface WorkContext {
+/** Dependencies and state shared by all calls of an entry. */
+export interface EntryContext {
   readonly settings: EntrySettings;
   readonly clients: GateClients;
   readonly claims: Claims;
@@ -18,7 +18,7 @@
   readonly admissions: Admissions;
   readonly budget: RetryBudget;
   readonly attemptIds: AttemptIds;
-  readonly background: Background;
+  readonly background: BackgroundTasks;
   readonly view: () => View;
   readonly clock: Clock;
   readonly stalls: StallWatch;
