--- a/packages/control/src/bench/followers.ts
+++ b/packages/control/src/bench/followers.ts
@@ -17,7 +17,7 @@
 ] as const;
 
 /** Targets that each entry has work at. */
-const TARGETS_EACH = 20;
+const TARGETS_PER_ENTRY = 20;
 
 const WARM_UP_ROUNDS = 5;
 const ROUNDS = 7;
@@ -60,10 +60,10 @@
   const spent: number[] = [];
   let bytes = 0;
   for (let round = 0; round < WARM_UP_ROUNDS + ROUNDS; round += 1) {
-    report(round, names, targets, loads, work);
-    service.raise();
+    reportChanges(round, names, targets, loads, work);
+    service.notify();
     const begun = process.cpuUsage();
-    bytes = await tellAll(streams);
+    bytes = await readAll(streams);
     const { user, system } = process.cpuUsage(begun);
     if (round >= WARM_UP_ROUNDS) spent.push((user + system) / 1_000);
   }
@@ -74,7 +74,7 @@
 }
 
 /** What entries and targets tell between two rounds. */
-function report(
+function reportChanges(
   round: number,
   names: readonly string[],
   targets: number,
@@ -86,7 +86,7 @@
     loads.take(targetId, create(controlMessage.TargetLoadSchema, { targetId, running: round, waiting: 0 }));
   }
   for (const [at, entry] of names.entries()) {
-    const told = Array.from({ length: Math.min(TARGETS_EACH, targets) }, (_, n) =>
+    const told = Array.from({ length: Math.min(TARGETS_PER_ENTRY, targets) }, (_, n) =>
       create(controlMessage.TargetTokensSchema, {
         targetId: `i-${((at + n * 7) % targets).toString().padStart(10, '0')}`,
         tokens: 1_000 + round,
@@ -97,7 +97,7 @@
 }
 
 /** Reads the next event that tells something of each stream and encodes it. @returns bytes in all. */
-async function tellAll(streams: readonly Events[]): Promise<number> {
+async function readAll(streams: readonly Events[]): Promise<number> {
   const sizes = streams.map(async (stream) => {
     for (;;) {
       const next = await stream.next();
--- a/packages/control/src/follow/bulletins.spec.ts
+++ b/packages/control/src/follow/bulletins.spec.ts
@@ -1,99 +1,102 @@
 import { create, fromBinary } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 import { beforeEach, describe, expect, it } from 'vitest';
-import { Bulletins } from './bulletins.js';
-import type { BulletinSource } from './bulletins.js';
+import { SharedUpdates } from './bulletins.js';
+import type { UpdateSource } from './bulletins.js';
 
-/** More than are kept. */
+/** More updates than are retained. */
 const MANY = 40;
 
-describe('bulletins', () => {
-  /** Loads that were told, in order. */
+describe('shared updates', () => {
+  /** Reported loads, in order. */
   let loads: string[];
-  /** How often what there is was gathered. */
-  let gathered: number;
-  let bulletins: Bulletins;
+  /** How often the source was read. */
+  let reads: number;
+  let updates: SharedUpdates;
   let version: number;
 
   beforeEach(() => {
     loads = [];
-    gathered = 0;
+    reads = 0;
     version = 0;
-    let place = 0;
-    const source: BulletinSource = {
+    let position = 0;
+    const source: UpdateSource = {
       fields: (whole) => {
-        gathered += 1;
-        const told = loads.slice(whole ? 0 : place);
-        place = loads.length;
-        return { loads: told.map((targetId) => create(controlMessage.TargetLoadSchema, { targetId })) };
+        reads += 1;
+        const reported = loads.slice(whole ? 0 : position);
+        position = loads.length;
+        return { loads: reported.map((targetId) => create(controlMessage.TargetLoadSchema, { targetId })) };
       },
     };
-    bulletins = new Bulletins(source);
+    updates = new SharedUpdates(source);
   });
 
-  const tell = (...targets: string[]): void => {
+  const report = (...targets: string[]): void => {
     loads.push(...targets);
     version += 1;
   };
 
-  /** What a follower that was told up to a bulletin holds then, and the bulletin. */
-  function follow(held: readonly string[], told: number | undefined): { held: string[]; told: number } {
-    const { shared, number } = bulletins.since(told, version);
+  /** Applies the updates after `received` to what a follower holds. @returns what it holds then, and the last update. */
+  function follow(
+    held: readonly string[],
+    received: number | undefined,
+  ): { held: string[]; received: number } {
+    const { shared, number } = updates.since(received, version);
     const events = shared.map((bytes) => fromBinary(controlMessage.FollowEventSchema, bytes));
     const ids = events.reduce<readonly string[]>(
       (before, event) => [...(event.whole ? [] : before), ...event.loads.map(({ targetId }) => targetId)],
       held,
     );
-    return { held: [...ids], told: number };
+    return { held: [...ids], received: number };
   }
 
-  // Guards against a control instance that has no time for its log, as it gathers and encodes the same for each follower.
-  it('gathers what is new once, however many lack it', () => {
-    tell('a');
+  // Guards against a control instance that encodes the same update for each follower and has no time left for its log.
+  it('read the source once, however many followers lack the update', () => {
+    report('a');
     const first = follow([], undefined);
-    const before = gathered;
+    const before = reads;
     const others = Array.from({ length: MANY }, () => follow([], undefined));
-    expect(gathered).toBe(before);
-    tell('b');
-    for (const one of [first, ...others]) expect(follow(one.held, one.told).held).toEqual(['a', 'b']);
-    expect(gathered).toBe(before + 1);
+    expect(reads).toBe(before);
+    report('b');
+    for (const one of [first, ...others]) expect(follow(one.held, one.received).held).toEqual(['a', 'b']);
+    expect(reads).toBe(before + 1);
   });
 
-  it('tells one that comes everything, and those that were told what has changed', () => {
-    tell('a');
+  it('give a new follower the full state, and the others what has changed', () => {
+    report('a');
     const first = follow([], undefined);
-    tell('b');
+    report('b');
     const second = follow([], undefined);
     expect(second.held).toEqual(['a', 'b']);
-    expect(follow(first.held, first.told).held).toEqual(['a', 'b']);
-    expect(follow(second.held, second.told)).toEqual(second);
+    expect(follow(first.held, first.received).held).toEqual(['a', 'b']);
+    expect(follow(second.held, second.received)).toEqual(second);
   });
 
-  it('leaves out nothing that changes between two rounds of news', () => {
-    tell('a');
+  it('leave out nothing that changes between two versions', () => {
+    report('a');
     const first = follow([], undefined);
     loads.push('b');
     const second = follow([], undefined);
-    tell('c');
-    expect(follow(first.held, first.told).held).toEqual(['a', 'b', 'c']);
-    expect(follow(second.held, second.told).held).toEqual(['a', 'b', 'c']);
+    report('c');
+    expect(follow(first.held, first.received).held).toEqual(['a', 'b', 'c']);
+    expect(follow(second.held, second.received).held).toEqual(['a', 'b', 'c']);
   });
 
-  it('tells everything to one that lags far behind', () => {
-    tell('a');
+  it('give the full state to a follower that lags far behind', () => {
+    report('a');
     const lagging = follow([], undefined);
     let other = lagging;
     for (let round = 0; round < MANY; round += 1) {
-      tell(`b${round}`);
-      other = follow(other.held, other.told);
+      report(`b${round}`);
+      other = follow(other.held, other.received);
     }
-    expect(follow(lagging.held, lagging.told)).toEqual(other);
+    expect(follow(lagging.held, lagging.received)).toEqual(other);
   });
 
-  it('tells nothing when nothing has changed', () => {
-    tell('a');
-    const { told } = follow([], undefined);
+  it('are empty when nothing has changed', () => {
+    report('a');
+    const { received } = follow([], undefined);
     version += 1;
-    expect(bulletins.since(told, version)).toEqual({ shared: [], number: told });
+    expect(updates.since(received, version)).toEqual({ shared: [], number: received });
   });
 });
--- a/packages/control/src/follow/bulletins.ts
+++ b/packages/control/src/follow/bulletins.ts
@@ -1,79 +1,89 @@
-/** News that many followers lack alike, encoded once for all of them. */
+/** Updates that many followers need alike, encoded once for all of them. */
 import { create, toBinary } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 
-/** Bulletins that are kept; a follower that lags further is told everything anew. */
-const MOST_KEPT = 32;
+/** Updates that are retained; a follower that lags further behind gets a snapshot. */
+const MAX_RETAINED_UPDATES = 32;
 
-/** Bulletins after which everything is encoded anew for those that come: until then they are told everything and what came since. */
-const WHOLE_LASTS = 8;
+/** Updates after which the snapshot for new followers is encoded again; until then they get the last snapshot and the updates since. */
+const SNAPSHOT_MAX_LAG = 8;
 
-/** The fields of an event that all followers of a kind are told alike. */
+/** The fields of an event that are the same for all followers of a kind. */
 export type SharedFields = Pick<
   controlMessage.FollowEvent,
   'targets' | 'relayed' | 'heard' | 'loads' | 'work' | 'cached' | 'kept'
 >;
 
-/** Where the fields come from. It remembers how far it has told. */
-export interface BulletinSource {
-  /** What has changed since the last call; `whole`: all that there is. */
+/** Supplies the fields, and remembers which changes it has returned. */
+export interface UpdateSource {
+  /** Changes since the last call; with `whole` the full state. */
   fields(whole: boolean): Partial<SharedFields>;
 }
 
-interface Bulletin {
+interface EncodedUpdate {
   readonly number: number;
   readonly bytes: Uint8Array;
 }
 
-/** What a follower is to be told. */
-export interface BulletinNews {
+/** Updates that a follower has not received yet. */
+export interface PendingUpdates {
   /** Encoded events, in order. */
   readonly shared: readonly Uint8Array[];
-  /** Number of the last bulletin in it. */
+  /** Number of the last update in `shared`. */
   readonly number: number;
 }
 
 /**
- * Numbered bulletins of what changed. One is made when there is news, and is the same for all that lack it: what a follower
- * costs is the sending of its bytes, however much there is to tell.
+ * Numbered updates, each encoded once and sent to every follower that lacks it, so that a further follower costs only the
+ * sending of the bytes.
  */
-export class Bulletins {
-  private kept: Bulletin[] = [];
-  private whole: Bulletin | undefined;
-  private last = 0;
-  /** Version of the news that the last one tells. */
+export class SharedUpdates {
+  private retained: EncodedUpdate[] = [];
+  private latestSnapshot: EncodedUpdate | undefined;
+  private lastNumber = 0;
+  /** Version up to which changes are encoded. */
   private version = -1;
 
-  constructor(private readonly source: BulletinSource) {}
+  constructor(private readonly source: UpdateSource) {}
 
-  /** What a follower lacks that was told up to bulletin `told`, undefined: nothing, when the news has this version. */
-  since(told: number | undefined, version: number): BulletinNews {
-    if (version !== this.version) this.make(version);
-    const oldest = this.kept[0]?.number ?? this.last + 1;
-    const isKnown = told !== undefined && told >= oldest - 1;
-    const shared = isKnown ? this.after(told) : this.everything();
-    return { shared, number: this.last };
+  /**
+   * Updates for a follower.
+   * @param received number of the last update that it received; undefined: none.
+   * @param version of the changes; a new one encodes the next update.
+   */
+  since(received: number | undefined, version: number): PendingUpdates {
+    if (version !== this.version) this.encodeUpdate(version);
+    const oldest = this.retained[0]?.number ?? this.lastNumber + 1;
+    const isRetained = received !== undefined && received >= oldest - 1;
+    const shared = isRetained ? this.updatesAfter(received) : this.snapshotAndUpdates();
+    return { shared, number: this.lastNumber };
   }
 
-  private everything(): Uint8Array[] {
-    if (this.whole === undefined || this.last - this.whole.number >= WHOLE_LASTS) {
-      // What changed since the last bulletin belongs to the next one, for those that were told before.
-      this.make(this.version);
-      this.whole = { number: this.last, bytes: encode({ ...this.source.fields(true), whole: true }) };
+  private snapshotAndUpdates(): Uint8Array[] {
+    if (
+      this.latestSnapshot === undefined ||
+      this.lastNumber - this.latestSnapshot.number >= SNAPSHOT_MAX_LAG
+    ) {
+      // Changes since the last update go into the next one, for the followers that don't get this snapshot.
+      this.encodeUpdate(this.version);
+      this.latestSnapshot = {
+        number: this.lastNumber,
+        bytes: encode({ ...this.source.fields(true), whole: true }),
+      };
     }
-    return [this.whole.bytes, ...this.after(this.whole.number)];
+    return [this.latestSnapshot.bytes, ...this.updatesAfter(this.latestSnapshot.number)];
   }
 
-  private after(told: number): Uint8Array[] {
-    return this.kept.filter(({ number }) => number > told).map(({ bytes }) => bytes);
+  private updatesAfter(received: number): Uint8Array[] {
+    return this.retained.filter(({ number }) => number > received).map(({ bytes }) => bytes);
   }
 
-  private make(version: number): void {
+  private encodeUpdate(version: number): void {
     this.version = version;
     const bytes = encode(this.source.fields(false));
     if (bytes.length === 0) return;
-    this.last += 1;
-    this.kept = [...this.kept, { number: this.last, bytes }].slice(-MOST_KEPT);
+    this.lastNumber += 1;
+    this.retained = [...this.retained, { number: this.lastNumber, bytes }].slice(-MAX_RETAINED_UPDATES);
   }
 }
 
--- a/packages/control/src/follow/enlisting.ts
+++ b/packages/control/src/follow/enlisting.ts
@@ -1,4 +1,4 @@
-/** The way of a control instance that is no voter yet into the cluster. */
+/** Requests of a control instance to become a voter of the cluster. */
 import { createClient } from '@connectrpc/connect';
 import type { Clock, EventKind, Log } from '@jasmineroute/core';
 import { controlMessage } from '@jasmineroute/protocol';
@@ -6,27 +6,28 @@
 import { controlEvents } from '../events.js';
 import type { CommandLog } from '../log/index.js';
 
-/** Pause between two attempts, milliseconds: about as long as an election takes. */
+/** Pause between two rounds of requests, milliseconds: about the duration of an election. */
 const RETRY_MS = 500;
 
 /**
- * The same at most, for an instance that has a vote as far as it knows. While there is no leader all of them ask all others,
- * which takes the time that the election needs. One that has lost its vote meanwhile gets it back the later for it.
+ * Longest pause of an instance that is a voter by its own log, milliseconds. While there is no leader every instance sends
+ * requests to all others, and that load delays the election. An instance that has lost its vote regains it later because of
+ * this pause.
  */
-const LAST_RETRY_MS = 2_000;
+const MAX_RETRY_MS = 2_000;
 
-/** Time for one call, milliseconds. */
-const CALL_MS = 800;
+/** Timeout of a call, milliseconds. */
+const CALL_TIMEOUT_MS = 800;
 
 /** States of the log in which a replica votes. */
-const VOTING = new Set(['leader', 'follower', 'candidate']);
+const VOTING_STATES = new Set(['leader', 'follower', 'candidate']);
 
-/** What enlisting works with. */
-export interface EnlistingParts {
+/** Dependencies of the voter requests. */
+export interface VoterRequestParts {
   readonly name: string;
   /** Own address, host:port. */
   readonly address: string;
-  /** Control instances that may know the cluster. */
+  /** Addresses of control instances that may belong to the cluster. */
   readonly known: () => readonly string[];
   readonly commandLog: CommandLog;
   readonly peers: Peers;
@@ -35,53 +36,53 @@
 }
 
 /**
- * Asks the cluster to take this instance in, whenever it doesn't vote or hears of no leader: at its first start beside a
- * cluster that others founded, after its disk was replaced, and when it lost its vote while it was out of reach, of which
- * nobody tells it. Asked again and again, as the leader may change or be unknown.
+ * Requests the voter role whenever this instance doesn't vote or is not in contact with a quorum: at its first start beside
+ * an existing cluster, after its disk was replaced, and when it lost its vote while it was unreachable, which it is not
+ * notified of. Repeats the request, as the leader may change or be unknown.
  */
-export async function enlist(parts: EnlistingParts, signal: AbortSignal): Promise<void> {
+export async function requestVoterRole(parts: VoterRequestParts, signal: AbortSignal): Promise<void> {
   const { commandLog, clock } = parts;
-  const asking = new Asking(parts);
-  // One that votes hears of a leader by itself; one with an empty disk leaves the others without a vote until it is taken in.
-  if (!VOTING.has(commandLog.status().state)) await asking.askAll();
+  const requester = new VoterRequester(parts);
+  // A voter finds the leader by itself. An instance with an empty disk requests at once: its vote is missing until the cluster adds it.
+  if (!VOTING_STATES.has(commandLog.status().state)) await requester.requestFromAll();
   let pauseMs = RETRY_MS;
   for (;;) {
     await clock.sleep(pauseMs, signal).catch(() => undefined);
     if (signal.aborted) return;
     const { state, vouched } = commandLog.status();
-    const isVoting = VOTING.has(state);
-    if (!isVoting || !vouched) await asking.askAll();
-    pauseMs = isVoting && !vouched ? Math.min(LAST_RETRY_MS, pauseMs * 2) : RETRY_MS;
+    const isVoting = VOTING_STATES.has(state);
+    if (!isVoting || !vouched) await requester.requestFromAll();
+    pauseMs = isVoting && !vouched ? Math.min(MAX_RETRY_MS, pauseMs * 2) : RETRY_MS;
   }
 }
 
-/** The questions of one instance, with what it has logged of their answers. */
-class Asking {
-  /** What was logged last, by the address that was asked: without a quorum the same comes twice a second. */
+/** Sends the requests of one instance and logs the answers that changed. */
+class VoterRequester {
+  /** Last logged answer by address: without a quorum the same answer comes twice a second. */
   private readonly logged = new Map<string, string>();
 
-  constructor(private readonly parts: EnlistingParts) {}
+  constructor(private readonly parts: VoterRequestParts) {}
 
   /**
-   * Asks all that are known, then the leaders that they name. All at once: the settings may name instances that are
-   * gone, and one after the other each of them would cost the time of a call.
+   * Sends the request to all known instances, then to the leaders that they name. In parallel: the settings may list
+   * instances that are gone, and in sequence each of them would cost a timeout.
    */
-  async askAll(): Promise<void> {
+  async requestFromAll(): Promise<void> {
     const { address, known } = this.parts;
     const others = new Set(known());
     others.delete(address);
-    const named = await Promise.all([...others].map((other) => this.ask(other)));
-    const leaders = new Set(named.filter((leader) => leader !== address && !others.has(leader)));
+    const answers = await Promise.all([...others].map((other) => this.request(other)));
+    const leaders = new Set(answers.filter((leader) => leader !== address && !others.has(leader)));
     leaders.delete('');
-    await Promise.all([...leaders].map((leader) => this.ask(leader)));
+    await Promise.all([...leaders].map((leader) => this.request(leader)));
   }
 
-  /** One question. @returns the leader's address; empty without an answer, and when the asked one leads. */
-  private async ask(asked: string): Promise<string> {
+  /** Sends one request. @returns the leader's address; empty without an answer, or when the called instance leads. */
+  private async request(asked: string): Promise<string> {
     const { name, address, peers } = this.parts;
     const client = createClient(controlMessage.Configurations, peers.transport(asked));
     try {
-      const { leader } = await client.enlist({ name, address }, { timeoutMs: CALL_MS });
+      const { leader } = await client.enlist({ name, address }, { timeoutMs: CALL_TIMEOUT_MS });
       this.logOnce(asked, controlEvents.voterRequestAnswered, { leader });
       return leader;
     } catch (error) {
--- a/packages/control/src/follow/follow.spec.ts
+++ b/packages/control/src/follow/follow.spec.ts
@@ -19,7 +19,7 @@
 describe('followers of control instances', () => {
   let cluster: Cluster;
   let stopped: AbortController;
-  /** Names in the newest configuration that any instance logged. */
+  /** Names in the newest replica configuration that an instance logged. */
   let voters: string[];
   let learners: string[];
 
@@ -39,24 +39,24 @@
     await cluster.stop();
   });
 
-  /** Numbers and announcements that a follower of one instance hears. */
+  /** Configuration numbers and announcements that a follower of one instance receives. */
   function follow(node: Node): { numbers: number[]; targets: string[] } {
-    const heard = { numbers: [] as number[], targets: [] as string[] };
+    const received = { numbers: [] as number[], targets: [] as string[] };
     const client = cluster.clientOf(controlMessage.Configurations, node);
     const read = async (): Promise<void> => {
       const request = { number: 0n, name: 'e1', role: 'entry' };
       for await (const event of client.follow(request, { signal: stopped.signal })) {
-        if (event.content.length > 0) heard.numbers.push(Number(event.number));
+        if (event.content.length > 0) received.numbers.push(Number(event.number));
         for (const { id, announcement } of readSharedEvents(event).flatMap(({ targets }) => targets)) {
-          heard.targets.push(`${id} ${controlMessage.Announcement[announcement]}`);
+          received.targets.push(`${id} ${controlMessage.Announcement[announcement]}`);
         }
       }
     };
     read().catch(() => undefined);
-    return heard;
+    return received;
   }
 
-  /** A stream of reports to one instance. @returns the way to send one. */
+  /** Opens a stream of reports to one instance. @returns a function that sends one. */
   function reporting(node: Node): (report: Report) => void {
     const waiting: Report[] = [];
     let wake = (): void => undefined;
@@ -79,52 +79,52 @@
     };
   }
 
-  it('hear at every instance of what was accepted at one, and at one of what targets told it', async () => {
+  it('receive an accepted configuration from every instance, and a target only from the instance that it called', async () => {
     const [first, second, third] = cluster.nodes;
     if (first === undefined || second === undefined || third === undefined) throw new Error('no instances');
-    const heard = [first, second, third].map(follow);
+    const received = [first, second, third].map(follow);
     const accepted = await second.control.configurations.put(configuration(4), source(4));
     expect(accepted._unsafeUnwrap()).toEqual({ number: 4, stored: true });
     const target = { name: 't1', service: 's', address: 'a:1', dataCentre: 'x', capacity: 1 };
     const rest = { draining: false, sequence: 1, coldMs: 0, weights: [] };
     third.control.targets.beat({ ...target, ...rest });
-    await until(() => heard.every(({ numbers }) => numbers.includes(4)));
-    await until(() => heard[2]?.targets.includes('t1 READY') === true);
-    expect(heard[0]?.targets).toEqual([]);
+    await until(() => received.every(({ numbers }) => numbers.includes(4)));
+    await until(() => received[2]?.targets.includes('t1 READY') === true);
+    expect(received[0]?.targets).toEqual([]);
   });
 
-  it.each([0, 1])('hear what other entries have under way, told at instance %i', async (at) => {
+  it.each([0, 1])('receive the work of other entries, reported to instance %i', async (at) => {
     const second = cluster.nodes[1];
-    const told = cluster.nodes[at];
-    if (second === undefined || told === undefined) throw new Error('no instances');
-    const heard: string[] = [];
+    const receiver = cluster.nodes[at];
+    if (second === undefined || receiver === undefined) throw new Error('no instances');
+    const received: string[] = [];
     const read = async (name: string): Promise<void> => {
       const client = cluster.clientOf(controlMessage.Configurations, second);
       const request = { number: 0n, name, role: 'entry', bulk: true };
       for await (const event of client.follow(request, { signal: stopped.signal })) {
         for (const { targets } of readSharedEvents(event).flatMap(({ work }) => work))
-          for (const { targetId, tokens } of targets) heard.push(`${name} ${targetId} ${tokens}`);
+          for (const { targetId, tokens } of targets) received.push(`${name} ${targetId} ${tokens}`);
       }
     };
     for (const name of ['e1', 'e2']) read(name).catch(() => undefined);
-    const report = reporting(told);
+    const report = reporting(receiver);
     const value = create(controlMessage.EntryWorkSchema, {
       entry: 'e1',
       targets: [{ targetId: 't', tokens: 700 }],
     });
     await until(() => {
       report({ case: 'work', value });
-      return heard.length > 0;
+      return received.length > 0;
     });
-    expect(new Set(heard)).toEqual(new Set(['e2 t 700']));
+    expect(new Set(received)).toEqual(new Set(['e2 t 700']));
   });
 
   it.each([0, 2])(
-    'hear what targets have in their caches, told at instance %i, and that nobody tells it any more',
+    'receive the cached blocks of targets, reported to instance %i, and their expiry',
     async (at) => {
       const first = cluster.nodes[0];
-      const told = cluster.nodes[at];
-      if (first === undefined || told === undefined) throw new Error('no instances');
+      const receiver = cluster.nodes[at];
+      if (first === undefined || receiver === undefined) throw new Error('no instances');
       const client = cluster.clientOf(controlMessage.Configurations, first);
       const keys = new Set<number>();
       const read = async (): Promise<void> => {
@@ -137,7 +137,7 @@
         }
       };
       read().catch(() => undefined);
-      const report = reporting(told);
+      const report = reporting(receiver);
       const cache = (changes: MessageInitShape<typeof controlMessage.KeptChangesSchema>): void => {
         const value = create(controlMessage.TargetCacheSchema, { address: 'a:1', changes });
         report({ case: 'cache', value });
@@ -150,11 +150,11 @@
     },
   );
 
-  // Guards against requests to a target that drains, where the process follows another instance than the target called.
-  it('hear of a target that called another instance, its pause, and that nobody hears that instance any more', async () => {
+  // Guards against requests to a draining target when the process follows another instance than the target called.
+  it('receive a target that called another instance, its pause, and the loss of that instance', async () => {
     const [first, second, third] = cluster.nodes;
     if (first === undefined || second === undefined || third === undefined) throw new Error('no instances');
-    const heard = new Map<string, string>();
+    const received = new Map<string, string>();
     let sources: string[] = [];
     const client = cluster.clientOf(controlMessage.Configurations, first);
     const read = async (): Promise<void> => {
@@ -164,12 +164,12 @@
         for (const { heard: controls } of shared) sources = controls?.controls ?? sources;
         const own = shared.flatMap(({ targets }) => ({ control: first.address, targets }));
         const others = shared.flatMap(({ relayed }) => relayed);
-        const told = [...own, ...others].flatMap(({ control, targets }) =>
+        const announced = [...own, ...others].flatMap(({ control, targets }) =>
           targets.map((target) => ({ control, target })),
         );
-        for (const { control, target } of told) {
+        for (const { control, target } of announced) {
           const state = controlMessage.Announcement[target.announcement];
-          heard.set(control, `${target.id} ${state}${target.paused ? ' paused' : ''}`);
+          received.set(control, `${target.id} ${state}${target.paused ? ' paused' : ''}`);
         }
       }
     };
@@ -177,20 +177,20 @@
     const target = { name: 't1', service: 's', address: 'a:1', dataCentre: 'x', capacity: 1 };
     const beat = { ...target, coldMs: 0, weights: [] };
     third.control.targets.beat({ ...beat, draining: false, sequence: 1 });
-    await until(() => heard.get(third.address) === 't1 READY');
+    await until(() => received.get(third.address) === 't1 READY');
     const observers = cluster.clientOf(controlMessage.Configurations, second);
     const observation = { targetId: 't1', observation: 1n, paused: true };
     await until(async () => (await observers.observe(observation)).known);
-    await until(() => heard.get(second.address) === 't1 SILENT paused');
+    await until(() => received.get(second.address) === 't1 SILENT paused');
     third.control.targets.beat({ ...beat, draining: true, sequence: 2 });
-    await until(() => heard.get(third.address) === 't1 DRAINING');
+    await until(() => received.get(third.address) === 't1 DRAINING');
     await until(() => sources.length === 2);
     await cluster.kill(third);
     await until(() => !sources.includes(third.address));
     expect(sources).toEqual([second.address]);
   });
 
-  // Guards against an operator who reads an older configuration from an instance that is cut off.
+  // Guards against an operator who reads an old configuration from an isolated instance.
   it('read the newest configuration, or nothing without a quorum', async () => {
     const [first, second, third] = cluster.nodes;
     if (first === undefined || second === undefined || third === undefined) throw new Error('no instances');
@@ -205,7 +205,7 @@
     });
   });
 
-  it('take in an instance that is told only where some of them are', async () => {
+  it('add an instance that knows only the addresses of some of them', async () => {
     const added = await cluster.add('c4');
     await until(() => cluster.isVouched(added));
     await until(() => cluster.nodes.every((node) => node.control.readiness().ready));
@@ -214,8 +214,8 @@
     await until(async () => (await added.control.configurations.read())._unsafeUnwrap()?.number === 8);
   });
 
-  // Guards against an instance that was dropped while it was cut off, and never votes again.
-  it('lose their vote while they are cut off and others come, and ask for it again', async () => {
+  // Guards against an instance that was removed from the voters while it was isolated and never votes again.
+  it('lose their vote while they are isolated and others join, and request it again', async () => {
     const [first, second, cut] = cluster.nodes;
     if (first === undefined || second === undefined || cut === undefined) throw new Error('no instances');
     cluster.isolate(cut);
@@ -229,8 +229,8 @@
     await until(() => voters.includes(cut.name) && cluster.isVouched(cut));
   });
 
-  // Guards against a process that ends at its start on a machine without a disk, again and again.
-  it('stand beside an instance without a disk, which is not ready and refuses truly', async () => {
+  // Guards against a process that fails at every start on a machine without a disk.
+  it('run beside an instance without a disk, which is not ready and refuses changes as not run', async () => {
     const added = await cluster.add('c4', { dataFolder: undefined });
     await until(() => cluster.nodes.filter((node) => cluster.isVouched(node)).length === 3);
     expect(added.control.readiness().ready).toBe(false);
@@ -240,7 +240,7 @@
     const others = cluster.nodes.filter((node) => node !== added);
     await until(() => added.control.referredTo() !== undefined);
     const named = others.find(({ address }) => address === added.control.referredTo());
-    if (named === undefined) throw new Error('it names nobody');
+    if (named === undefined) throw new Error('the referral names no instance');
     await cluster.kill(named);
     await until(() => ![undefined, named.address].includes(added.control.referredTo()));
     expect(others[0]?.control.referredTo()).toBeUndefined();
--- a/packages/control/src/follow/followService.spec.ts
+++ b/packages/control/src/follow/followService.spec.ts
@@ -53,8 +53,8 @@
 
 type Events = AsyncGenerator<controlMessage.FollowEvent>;
 
-/** The next event of a stream that tells something. */
-async function nextTold(stream: Events): Promise<void> {
+/** Waits for the next event of a stream other than the one that says it is queued. */
+async function nextEvent(stream: Events): Promise<void> {
   for await (const { queued } of { [Symbol.asyncIterator]: () => ({ next: () => stream.next() }) })
     if (!queued) return;
 }
@@ -63,27 +63,27 @@
 async function eventsByTurn(streams: readonly Events[]): Promise<number[]> {
   const byTurn: number[] = [];
   let events = 0;
-  for (const stream of streams) void nextTold(stream).then(() => (events += 1));
-  for (let told = 0; told < streams.length; told = events) {
+  for (const stream of streams) void nextEvent(stream).then(() => (events += 1));
+  for (let before = 0; before < streams.length; before = events) {
     await turn();
-    byTurn.push(events - told);
+    byTurn.push(events - before);
   }
   return byTurn;
 }
 
-// Guards against a leader that loses its quorum, as it answers no heartbeat while it tells all entries in one turn.
-it('tells one follower in a turn of the event loop, when they come and when there is news', async () => {
+// Guards against a leader that sends to all entries in one turn of the event loop, answers no heartbeat and loses its quorum.
+it('serves one follower in a turn of the event loop, for new followers and for updates', async () => {
   const request = create(controlMessage.FollowRequestSchema, { role: 'entry', bulk: true });
   const names = Array.from({ length: FOLLOWERS }, (_, at) => `entry-${at}`);
   const streams = names.map((name) => service.follow({ ...request, name }, { signal: stopped.signal }));
   expect(Math.max(...(await eventsByTurn(streams)))).toBe(1);
-  const told = eventsByTurn(streams);
-  service.raise();
-  expect(Math.max(...(await told))).toBe(1);
+  const counts = eventsByTurn(streams);
+  service.notify();
+  expect(Math.max(...(await counts))).toBe(1);
 });
 
-// Guards against followers that give a stream up and open it anew while the instance is busy with others.
-it('says at once that it has taken a stream up which others come before', async () => {
+// Guards against followers that give a stream up and reopen it while the instance serves others.
+it('acknowledges at once a stream that waits for others', async () => {
   const request = create(controlMessage.FollowRequestSchema, { role: 'entry', bulk: true });
   const names = Array.from({ length: FOLLOWERS }, (_, at) => `entry-${at}`);
   const streams = names.map((name) => service.follow({ ...request, name }, { signal: stopped.signal }));
@@ -97,51 +97,51 @@
   expect(queued).toBe(FOLLOWERS - 1);
 });
 
-// Guards against followers that are well hearing nothing while others are told all, so that they open their streams anew too.
-it('tells followers that it told before ahead of those that have just come', async () => {
+// Guards against established followers that receive nothing while new ones get snapshots, and reopen their streams too.
+it('serves established followers before new ones', async () => {
   const request = create(controlMessage.FollowRequestSchema, { role: 'entry', bulk: true });
   const follow = (name: string): Events => service.follow({ ...request, name }, { signal: stopped.signal });
   const known = follow('known');
-  await nextTold(known);
+  await nextEvent(known);
   const order: string[] = [];
   const others = Array.from({ length: FOLLOWERS }, (_, at) => follow(`entry-${at}`));
-  const told = others.map((stream) => nextTold(stream).then(() => order.push('new')));
-  service.raise();
-  void nextTold(known).then(() => order.push('known'));
-  await Promise.all(told);
+  const firstEvents = others.map((stream) => nextEvent(stream).then(() => order.push('new')));
+  service.notify();
+  void nextEvent(known).then(() => order.push('known'));
+  await Promise.all(firstEvents);
   expect(order.slice(0, 3)).toContain('known');
 });
 
-// Guards against entries that put configurations in force which were replaced long ago, one after the other after a restart.
-it('tells of no configuration while the log is replayed', async () => {
+// Guards against entries that apply long replaced configurations, one after the other, while the log is replayed after a restart.
+it('sends no configuration while the log is replayed', async () => {
   commandLog.isolate(true);
   commandLog.behind = 1n;
   const request = create(controlMessage.FollowRequestSchema, { name: 'entry', role: 'entry', bulk: true });
   const stream = service.follow(request, { signal: stopped.signal });
-  const told: number[] = [];
+  const received: number[] = [];
   const reading = (async () => {
-    for await (const { content } of stream) if (content.length > 0) told.push(content[0] ?? 0);
+    for await (const { content } of stream) if (content.length > 0) received.push(content[0] ?? 0);
   })();
   for (const number of [1, 2, 3]) {
     if (number === 3) commandLog.behind = 0n;
     const content = new Uint8Array([number]);
     applyOne(machine, { case: 'configure', value: { number: BigInt(number), content, source: content } });
     for (let turns = 0; turns < 4; turns += 1) await turn();
-    service.raise();
+    service.notify();
     for (let turns = 0; turns < 4; turns += 1) await turn();
   }
-  expect(told).toEqual([3]);
+  expect(received).toEqual([3]);
   stopped.abort();
   await reading;
 });
 
-// Guards against an election that is late, as each of its steps is told to all followers.
-it('tells followers nothing of the steps of an election but the contact with a quorum', async () => {
+// Guards against an election that is delayed because each of its steps causes an event to all followers.
+it('sends an event when the quorum contact changes, not at each step of an election', async () => {
   const request = create(controlMessage.FollowRequestSchema, { name: 'entry', role: 'entry', bulk: true });
   const stream = service.follow(request, { signal: stopped.signal });
-  const told: boolean[] = [];
+  const received: boolean[] = [];
   const reading = (async () => {
-    for await (const { vouched } of stream) told.push(vouched);
+    for await (const { vouched } of stream) received.push(vouched);
   })();
   const change = async (action: () => void): Promise<void> => {
     action();
@@ -150,13 +150,13 @@
   await change(() => undefined);
   for (let steps = 0; steps < 3; steps += 1) {
     await change(() => {
-      commandLog.step();
+      commandLog.notifyStatus();
     });
   }
   await change(() => {
     commandLog.isolate(true);
   });
-  expect(told).toEqual([true, false]);
+  expect(received).toEqual([true, false]);
   stopped.abort();
   await reading;
 });
--- a/packages/control/src/follow/followService.ts
+++ b/packages/control/src/follow/followService.ts
@@ -1,134 +1,134 @@
-/** Streams of configurations, weights and targets to those that route by them. */
+/** Streams of configurations, weights, targets and reports to the processes that route by them. */
 import { create } from '@bufbuild/protobuf';
 import type { HandlerContext, ServiceImpl } from '@connectrpc/connect';
 import { controlMessage } from '@jasmineroute/protocol';
 import { controlEvents } from '../events.js';
 import { isCaughtUp } from '../log/index.js';
 import { Coalescer } from '../recent/index.js';
-import { Bulletins } from './bulletins.js';
-import { FollowerPlace, shareOf } from './followerPlace.js';
+import { SharedUpdates } from './bulletins.js';
+import { FollowerCursor, streamKindOf } from './followerPlace.js';
 import type { FollowSources } from './followSources.js';
-import type { Share, SharedNews } from './followerPlace.js';
-import { News } from './news.js';
-import { Pacer } from './pacer.js';
-import { ReportIntake } from './reportIntake.js';
+import type { StreamKind, SharedStream } from './followerPlace.js';
+import { UpdateSignal } from './news.js';
+import { EventLoopScheduler } from './pacer.js';
+import { ReportReceiver } from './reportIntake.js';
 import { SharedFieldsSource } from './sharedFields.js';
 
-/** Time between two events when nothing changes, milliseconds: how a follower knows that it still hears. */
+/** Time between two events without changes, milliseconds, by which a follower knows that the stream is alive. */
 const HEARTBEAT_MS = 800;
 
-/** Entries for which the times below hold; with more each event goes to as many more, and is gathered for longer. */
-const ENTRIES_AT_ONCE = 8;
+/** Number of entries up to which the delays below hold. With more, each event has more receivers and changes are coalesced for longer. */
+const ENTRIES_PER_DELAY = 8;
 
-/** Work that is told within this time goes to an entry as one event, milliseconds: about as long as a prompt is read. */
-const GATHER_WORK_MS = 25;
+/** Delay that coalesces reports on work into one event, milliseconds: about the duration of a prefill. */
+const WORK_DELAY_MS = 25;
 
-/** Changes of targets that an entry hears of together, milliseconds. */
-const GATHER_TARGETS_MS = 5;
+/** Delay that coalesces changes of targets, milliseconds. */
+const TARGETS_DELAY_MS = 5;
 
-/** The same over streams that the follower keeps as spares, milliseconds. */
-const GATHER_SPARE_MS = 25;
+/** The same on spare streams, milliseconds. */
+const SPARE_DELAY_MS = 25;
 
-/** Loads and caches that an entry is told together at least, milliseconds: they change all the time, and are old already. */
-const GATHER_LOADS_MS = 150;
+/** Minimum delay of loads and caches to entries, milliseconds: they change continuously, and are not fresh on arrival anyway. */
+const LOADS_DELAY_MS = 150;
 
-/** What another control instance is told together to pass it on, at least, milliseconds. */
-const GATHER_OWN_MS = 150;
+/** Minimum delay of reports to a control instance that relays them, milliseconds. */
+const RELAY_DELAY_MS = 150;
 
-/** Loads that another control instance is told together which passes nothing on, milliseconds: they show who is attended. */
-const GATHER_OWN_LOADS_MS = 500;
+/** Delay of loads to a control instance that relays nothing, milliseconds: it only needs them to know which targets have a process beside them. */
+const CONTROL_LOADS_DELAY_MS = 500;
 
-const isForControl = (share: Share): boolean => share === 'own' || share === 'loads';
+const isControlStream = (kind: StreamKind): boolean => kind === 'own' || kind === 'loads';
 
-function sharedNews(sources: FollowSources, isBulk: boolean): SharedNews {
+function sharedStream(sources: FollowSources, isBulk: boolean): SharedStream {
   const source = new SharedFieldsSource(sources, isBulk);
-  return { bulletins: new Bulletins(source), workOf: (entry) => source.workOf(entry) };
+  return { updates: new SharedUpdates(source), workOf: (entry) => source.workOf(entry) };
 }
 
-/** Serves followers, and control instances that want to vote. */
+/** Serves followers, reports, and control instances that request the voter role. */
 export class FollowService implements ServiceImpl<typeof controlMessage.Configurations> {
-  private readonly news: Record<Share, News> = {
-    loads: new News(),
-    own: new News(),
-    bulk: new News(),
-    spare: new News(),
+  private readonly signals: Record<StreamKind, UpdateSignal> = {
+    loads: new UpdateSignal(),
+    own: new UpdateSignal(),
+    bulk: new UpdateSignal(),
+    spare: new UpdateSignal(),
   };
-  private readonly shared: Partial<Record<Share, SharedNews>>;
-  /** Streams of entries that ask for loads, work and caches, by the entry's name. */
+  private readonly shared: Partial<Record<StreamKind, SharedStream>>;
+  /** Number of streams of entries that request loads, work and caches, by the entry's name. */
   private readonly entries = new Map<string, number>();
-  private readonly intake: ReportIntake;
-  /** Contact and members as they were told last. */
-  private toldStatus: string;
-  /** Heartbeats of the log are read and answered between two events. */
-  private readonly pacer = new Pacer();
+  private readonly receiver: ReportReceiver;
+  /** Quorum contact and members at the last notification. */
+  private sentStatus: string;
+  /** Leaves time between two events to read and answer heartbeats of the log. */
+  private readonly scheduler = new EventLoopScheduler();
 
   constructor(private readonly sources: FollowSources) {
-    this.intake = new ReportIntake(sources, sources.others.cached);
-    this.toldStatus = this.statusToTell();
-    this.shared = { bulk: sharedNews(sources, true), spare: sharedNews(sources, false) };
+    this.receiver = new ReportReceiver(sources, sources.others.cached);
+    this.sentStatus = this.relevantStatus();
+    this.shared = { bulk: sharedStream(sources, true), spare: sharedStream(sources, false) };
     sources.configuration.onChange(() => {
-      if (isCaughtUp(sources.commandLog.status())) this.raise();
+      if (isCaughtUp(sources.commandLog.status())) this.notify();
     });
-    sources.commandLog.onStatus(this.raiseStatus);
-    this.gatherTargets();
-    this.gatherBulk();
+    sources.commandLog.onStatus(this.notifyStatus);
+    this.subscribeToTargets();
+    this.subscribeToReports();
   }
 
-  /** Tells followers at once that there is news. */
-  readonly raise = (): void => {
-    for (const news of Object.values(this.news)) news.raise();
+  /** Wakes all streams at once. */
+  readonly notify = (): void => {
+    for (const signal of Object.values(this.signals)) signal.notify();
   };
 
-  /** Followers are told of the contact with a quorum and of the members only, not of each step of an election. */
-  private readonly raiseStatus = (): void => {
-    const status = this.statusToTell();
-    if (status === this.toldStatus) return;
-    this.toldStatus = status;
-    this.raise();
+  /** Wakes the streams when the quorum contact or the members change, not at each step of an election. */
+  private readonly notifyStatus = (): void => {
+    const status = this.relevantStatus();
+    if (status === this.sentStatus) return;
+    this.sentStatus = status;
+    this.notify();
   };
 
-  private statusToTell(): string {
+  private relevantStatus(): string {
     const { commandLog } = this.sources;
     const members = commandLog.members().map(({ address }) => address);
     return [commandLog.status().vouched, ...members].join();
   }
 
-  private gatherTargets(): void {
+  private subscribeToTargets(): void {
     const { targets, relayed } = this.sources;
-    const { loads, own, bulk, spare } = this.news;
-    const quick = [loads, own, bulk].map((news) => this.gathering(GATHER_TARGETS_MS, news));
-    const slow = this.gathering(GATHER_SPARE_MS, spare);
-    for (const gathering of [...quick, slow]) targets.onChange(gathering.recordChange);
-    for (const gathering of [this.gathering(GATHER_TARGETS_MS, bulk), slow])
-      relayed.onChange(gathering.recordChange);
+    const { loads, own, bulk, spare } = this.signals;
+    const quick = [loads, own, bulk].map((signal) => this.coalescer(TARGETS_DELAY_MS, signal));
+    const slow = this.coalescer(SPARE_DELAY_MS, spare);
+    for (const coalescer of [...quick, slow]) targets.onChange(coalescer.recordChange);
+    for (const coalescer of [this.coalescer(TARGETS_DELAY_MS, bulk), slow])
+      relayed.onChange(coalescer.recordChange);
   }
 
-  private gatherBulk(): void {
+  private subscribeToReports(): void {
     const { loads, work, others, clock } = this.sources;
-    const { news } = this;
-    const quick = this.gathering(GATHER_WORK_MS, news.bulk);
-    const slow = this.gathering(GATHER_WORK_MS, news.bulk, GATHER_LOADS_MS);
-    const own = this.gathering(GATHER_WORK_MS, news.own, GATHER_OWN_MS);
-    const ownLoads = new Coalescer(clock, () => GATHER_OWN_LOADS_MS, news.loads.raise);
+    const { signals } = this;
+    const quick = this.coalescer(WORK_DELAY_MS, signals.bulk);
+    const slow = this.coalescer(WORK_DELAY_MS, signals.bulk, LOADS_DELAY_MS);
+    const own = this.coalescer(WORK_DELAY_MS, signals.own, RELAY_DELAY_MS);
+    const ownLoads = new Coalescer(clock, () => CONTROL_LOADS_DELAY_MS, signals.loads.notify);
     work.onChange(quick.recordChange);
     work.onChange(own.recordChange);
-    for (const gathering of [slow, own, ownLoads]) loads.onChange(gathering.recordChange);
-    for (const gathering of [slow, own]) this.intake.onCached(gathering.recordChange);
+    for (const coalescer of [slow, own, ownLoads]) loads.onChange(coalescer.recordChange);
+    for (const coalescer of [slow, own]) this.receiver.onCached(coalescer.recordChange);
     others.onCached(slow.recordChange);
   }
 
-  /** Gathers for a time that grows with the number of entries, milliseconds, and for `leastMs` at least. */
-  private gathering(ms: number, news: News, leastMs = 0): Coalescer {
-    const times = (): number => Math.max(1, Math.ceil(this.allEntries() / ENTRIES_AT_ONCE));
-    return new Coalescer(this.sources.clock, () => Math.max(leastMs, ms * times()), news.raise);
+  /** Coalesces changes for a time that grows with the number of entries, and for `leastMs` milliseconds at least. */
+  private coalescer(ms: number, signal: UpdateSignal, leastMs = 0): Coalescer {
+    const factor = (): number => Math.max(1, Math.ceil(this.totalEntries() / ENTRIES_PER_DELAY));
+    return new Coalescer(this.sources.clock, () => Math.max(leastMs, ms * factor()), signal.notify);
   }
 
-  /** Entries that serve now, as far as the instances that are heard know. */
-  private allEntries(): number {
+  /** Number of entries that follow this instance or one that it follows. */
+  private totalEntries(): number {
     return this.entries.size + this.sources.others.entries();
   }
 
-  /** What is held now, then what changes. */
+  /** Streams the current state, then the changes. */
   async *follow(
     request: controlMessage.FollowRequest,
     context: Pick<HandlerContext, 'signal'>,
@@ -136,44 +136,44 @@
     const { log, clock, ended } = this.sources;
     const signal = AbortSignal.any([ended, context.signal]);
     const isGone = (): boolean => signal.aborted;
-    const share = shareOf(request);
-    const urgency = isForControl(share) ? 'control' : 'told';
-    if (this.pacer.isBusy) yield create(controlMessage.FollowEventSchema, { queued: true });
-    await this.pacer.next(isForControl(share) ? 'control' : 'first');
+    const kind = streamKindOf(request);
+    const priority = isControlStream(kind) ? 'control' : 'told';
+    if (this.scheduler.isBusy) yield create(controlMessage.FollowEventSchema, { queued: true });
+    await this.scheduler.next(isControlStream(kind) ? 'control' : 'first');
     if (isGone()) return;
-    const follower = new FollowerPlace(this.sources, this.intake.cached, request, this.shared[share]);
-    const news = this.news[share];
+    const follower = new FollowerCursor(this.sources, this.receiver.cached, request, this.shared[kind]);
+    const updates = this.signals[kind];
     log.event(controlEvents.followerConnected, {
       follower: request.name,
-      share,
+      share: kind,
       number: Number(request.number),
     });
-    if (share === 'bulk') this.count(request.name, 1);
+    if (kind === 'bulk') this.count(request.name, 1);
     try {
       while (!isGone()) {
-        const version = news.version();
-        yield follower.event(isForControl(share) ? this.entries.size : this.allEntries(), version);
-        await news.after(version, clock, HEARTBEAT_MS, signal);
-        await this.pacer.next(urgency);
+        const version = updates.version();
+        yield follower.event(isControlStream(kind) ? this.entries.size : this.totalEntries(), version);
+        await updates.waitForChange(version, clock, HEARTBEAT_MS, signal);
+        await this.scheduler.next(priority);
       }
     } finally {
-      if (share === 'bulk') this.count(request.name, -1);
+      if (kind === 'bulk') this.count(request.name, -1);
     }
   }
 
-  /** Whether some entry has this instance tell it loads, work and caches. */
-  tellsEntries(): boolean {
+  /** Whether an entry receives loads, work and caches from this instance. */
+  hasEntryStreams(): boolean {
     return this.entries.size > 0;
   }
 
-  /** An entry that comes back has two streams for a moment, the old one not yet found dead: it counts once. */
+  /** Counts an entry once although it may have two streams after a reconnect, until the old one is found dead. */
   private count(name: string, change: number): void {
     const streams = (this.entries.get(name) ?? 0) + change;
     if (streams > 0) this.entries.set(name, streams);
     else this.entries.delete(name);
   }
 
-  /** Takes what the process beside a target says of it. */
+  /** Takes an observation by the process beside a target. */
   observe(request: controlMessage.ObserveRequest): controlMessage.ObserveResponse {
     const { targets, relayed } = this.sources;
     const target = relayed.find(request.targetId);
@@ -181,21 +181,21 @@
     return create(controlMessage.ObserveResponseSchema, { known: targets.observe(request) });
   }
 
-  /** Takes a target from the process beside it. */
+  /** Takes the announcement of a target by the process beside it. */
   announce(announced: controlMessage.AnnouncedTarget): controlMessage.AnnounceResponse {
     this.sources.targets.announce(announced);
     return create(controlMessage.AnnounceResponseSchema, {});
   }
 
-  /** Takes what one process reports for others. */
+  /** Receives the reports of one process. */
   report(
     requests: AsyncIterable<controlMessage.ReportRequest>,
     context: HandlerContext,
   ): AsyncGenerator<controlMessage.ReportResponse> {
-    return this.intake.take(requests, context);
+    return this.receiver.receive(requests, context);
   }
 
-  /** Makes the asking instance a voter, if this one leads. */
+  /** Makes the requesting instance a voter if this one leads, else names the leader. */
   enlist(request: controlMessage.EnlistRequest): controlMessage.EnlistResponse {
     const { commandLog, log } = this.sources;
     const status = commandLog.status();
--- a/packages/control/src/follow/followSources.ts
+++ b/packages/control/src/follow/followSources.ts
@@ -1,21 +1,21 @@
-/** What the streams to followers tell of. */
+/** Sources of the streams to followers. */
 import type { KeptParts } from '@jasmineroute/protocol';
 import type { ConfigurationState } from '../configuration/index.js';
 import type { CommandLog } from '../log/index.js';
 import type { RelayedTargets, TargetBook } from '../targets/index.js';
 import type { OtherControls } from './otherControls.js';
-import type { ReportBoards } from './reportIntake.js';
+import type { ReportSinks } from './reportIntake.js';
 
-/** What the streams tell of. */
-export interface FollowSources extends ReportBoards {
+/** The state that the streams send. */
+export interface FollowSources extends ReportSinks {
   readonly configuration: ConfigurationState;
   readonly targets: TargetBook;
-  /** What other control instances tell of targets. */
+  /** Targets that other control instances relay. */
   readonly relayed: RelayedTargets;
   readonly others: OtherControls;
-  /** Addresses of stores that do not answer. */
+  /** Addresses of cache stores that do not answer. */
   readonly lostStores: () => readonly string[];
-  /** What stores keep; undefined where no store is watched. */
+  /** Blocks in cache stores; undefined where no store is watched. */
   readonly kept: KeptParts | undefined;
   readonly commandLog: CommandLog;
 }
--- a/packages/control/src/follow/followerPlace.ts
+++ b/packages/control/src/follow/followerPlace.ts
@@ -1,78 +1,81 @@
-/** What one follower has been told, and what it lacks. */
+/** Tracks what one follower has received, and builds its next event. */
 import { create } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 import type { KeptParts } from '@jasmineroute/protocol';
 import { isCaughtUp } from '../log/index.js';
-import type { Bulletins } from './bulletins.js';
+import type { SharedUpdates } from './bulletins.js';
 import type { FollowSources } from './followSources.js';
-import { changesOf } from './sharedFields.js';
+import { changesSince } from './sharedFields.js';
 
 /**
- * What a follower is told:
- * - loads: a control instance, the targets and loads that this one was told itself;
- * - own: one that passes it on to entries, the work and caches too;
- * - bulk: an entry, all that it needs for its decisions;
+ * What the events of a stream contain:
+ * - loads: for a control instance, the targets and loads that were reported directly to this one;
+ * - own: for a control instance that relays to entries, directly reported work and caches as well;
+ * - bulk: for an entry, everything that it needs for its decisions;
  * - spare: the configuration, weights and targets.
  */
-export type Share = 'loads' | 'own' | 'bulk' | 'spare';
+export type StreamKind = 'loads' | 'own' | 'bulk' | 'spare';
 
 type EventFields = Partial<Omit<controlMessage.FollowEvent, '$typeName' | '$unknown'>>;
 
-/** The share that a follower asks for. */
-export function shareOf({ role, bulk }: Pick<controlMessage.FollowRequest, 'role' | 'bulk'>): Share {
+/** The kind of stream that a request asks for. */
+export function streamKindOf({
+  role,
+  bulk,
+}: Pick<controlMessage.FollowRequest, 'role' | 'bulk'>): StreamKind {
   if (role === 'control') return bulk ? 'own' : 'loads';
   return bulk ? 'bulk' : 'spare';
 }
 
-/** What followers of a kind are told alike. */
-export interface SharedNews {
-  readonly bulletins: Bulletins;
-  /** What an entry told itself of the work that they tell. */
+/** Updates that are the same for all followers of a kind. */
+export interface SharedStream {
+  readonly updates: SharedUpdates;
+  /** The share of one entry in the work that the updates sum up. */
   readonly workOf: (entry: string) => controlMessage.EntryWork | undefined;
 }
 
-/** How far one follower has been told. */
-export class FollowerPlace {
-  private targetPlace = 0;
-  private loadPlace = 0;
-  private workPlace = 0;
-  private cachedPlace = 0;
+/** Position of one follower in the changes. */
+export class FollowerCursor {
+  private targetPosition = 0;
+  private loadPosition = 0;
+  private workPosition = 0;
+  private cachedPosition = 0;
   private weightsVersion = -1;
-  /** Number of the last bulletin that it was told; undefined: none was. */
-  private bulletin: number | undefined;
-  /** Joined addresses that were told last; undefined: none were. */
-  private toldControls: string | undefined;
-  private number: bigint;
+  /** Number of the last shared update that was sent; undefined: none. */
+  private updateNumber: number | undefined;
+  /** Joined addresses that were sent last; undefined: none. */
+  private sentControls: string | undefined;
+  private configurationNumber: bigint;
 
-  private readonly fields: Record<Share, (version: number) => EventFields> = {
-    loads: () => this.ownLoads(),
-    own: () => ({ ...this.ownLoads(), ...this.ownWork() }),
-    bulk: (version) => this.news(version),
-    spare: (version) => this.news(version),
+  private readonly fields: Record<StreamKind, (version: number) => EventFields> = {
+    loads: () => this.directLoads(),
+    own: () => ({ ...this.directLoads(), ...this.directWork() }),
+    bulk: (version) => this.routingFields(version),
+    spare: (version) => this.routingFields(version),
   };
 
   /**
-   * @param ownCached what this instance was told of caches itself.
-   * @param shared for followers that are no control instances.
+   * @param directCached cached blocks that were reported directly to this instance.
+   * @param shared updates for followers other than control instances.
    */
   constructor(
     private readonly sources: FollowSources,
-    private readonly ownCached: KeptParts,
+    private readonly directCached: KeptParts,
     private readonly request: controlMessage.FollowRequest,
-    private readonly shared: SharedNews | undefined,
+    private readonly shared: SharedStream | undefined,
   ) {
-    this.number = request.number;
+    this.configurationNumber = request.number;
   }
 
   /**
-   * What it lacks, which counts as told from then on.
-   * @param entries how many it is to know of.
-   * @param version of the news that it is told.
+   * Builds an event with all that the follower lacks, and advances its position.
+   * @param entries number of entries to report to it.
+   * @param version of the changes in the event.
    */
   event(entries: number, version: number): controlMessage.FollowEvent {
     const { commandLog, configuration } = this.sources;
     return create(controlMessage.FollowEventSchema, {
-      ...this.fields[shareOf(this.request)](version),
+      ...this.fields[streamKindOf(this.request)](version),
       vouched: commandLog.status().vouched,
       number: configuration.held().number,
       controls: this.controls(),
@@ -82,9 +85,9 @@
 
   private controls(): string[] {
     const controls = this.sources.commandLog.members().map(({ address }) => address);
-    const told = controls.join();
-    if (told === this.toldControls) return [];
-    this.toldControls = told;
+    const joined = controls.join();
+    if (joined === this.sentControls) return [];
+    this.sentControls = joined;
     return controls;
   }
 
@@ -96,43 +99,46 @@
     return configuration.recentWeights(clock.monotonic());
   }
 
-  private ownLoads(): EventFields {
+  private directLoads(): EventFields {
     const { targets, loads } = this.sources;
-    const fields = { targets: targets.since(this.targetPlace), loads: loads.directSince(this.loadPlace) };
-    this.targetPlace = targets.place();
-    this.loadPlace = loads.lastSequenceNumber();
+    const fields = {
+      targets: targets.since(this.targetPosition),
+      loads: loads.directSince(this.loadPosition),
+    };
+    this.targetPosition = targets.lastChangeNumber();
+    this.loadPosition = loads.lastSequenceNumber();
     return fields;
   }
 
-  private ownWork(): EventFields {
+  private directWork(): EventFields {
     const { work } = this.sources;
     const fields = {
-      work: work.directSince(this.workPlace),
-      cached: changesOf(this.ownCached, this.cachedPlace),
+      work: work.directSince(this.workPosition),
+      cached: changesSince(this.directCached, this.cachedPosition),
     };
-    this.workPlace = work.lastSequenceNumber();
-    this.cachedPlace = this.ownCached.place();
+    this.workPosition = work.lastSequenceNumber();
+    this.cachedPosition = this.directCached.place();
     return fields;
   }
 
-  private news(version: number): EventFields {
+  private routingFields(version: number): EventFields {
     const { commandLog, configuration, lostStores } = this.sources;
     const held = configuration.held();
-    const isNewer = held.number > this.number && isCaughtUp(commandLog.status());
-    if (isNewer) this.number = held.number;
+    const isNewer = held.number > this.configurationNumber && isCaughtUp(commandLog.status());
+    if (isNewer) this.configurationNumber = held.number;
     return {
       ...(isNewer && { content: held.content }),
-      ...this.bulletins(version),
+      ...this.sharedFields(version),
       weights: this.weights(),
       lostStores: [...lostStores()],
     };
   }
 
-  private bulletins(version: number): EventFields {
-    const news = this.shared?.bulletins.since(this.bulletin, version);
-    if (news === undefined || news.shared.length === 0) return {};
-    this.bulletin = news.number;
+  private sharedFields(version: number): EventFields {
+    const pending = this.shared?.updates.since(this.updateNumber, version);
+    if (pending === undefined || pending.shared.length === 0) return {};
+    this.updateNumber = pending.number;
     const ownWork = this.shared?.workOf(this.request.name);
-    return { shared: [...news.shared], ownWork };
+    return { shared: [...pending.shared], ownWork };
   }
 }
--- a/packages/control/src/follow/news.ts
+++ b/packages/control/src/follow/news.ts
@@ -1,24 +1,24 @@
-/** Wakes the streams of followers, none of which misses a change that comes while an event is on its way out. */
+/** Wakes the streams of followers. A version counter keeps a stream from missing a change that arrives while it sends an event. */
 import type { Clock } from '@jasmineroute/core';
 import { ChangeSignal } from '@jasmineroute/directory';
 
-/** Changes that some followers are to hear of together. */
-export class News {
-  private readonly signal = new ChangeSignal();
+/** Signals updates to the streams of one kind of followers. */
+export class UpdateSignal {
+  private readonly changeSignal = new ChangeSignal();
   private count = 0;
 
-  /** How often there was news. */
+  /** Number of notifications so far. */
   version(): number {
     return this.count;
   }
 
-  readonly raise = (): void => {
+  readonly notify = (): void => {
     this.count += 1;
-    this.signal.raise();
+    this.changeSignal.raise();
   };
 
-  /** Resolves at once when there was news since `version`, else at the next, after `ms` milliseconds, or at the abort. */
-  async after(version: number, clock: Clock, ms: number, signal: AbortSignal): Promise<void> {
-    if (version === this.count) await this.signal.wait(clock, ms, signal);
+  /** Resolves at once after a notification since `version`, else at the next one, after `ms` milliseconds or at the abort. */
+  async waitForChange(version: number, clock: Clock, ms: number, signal: AbortSignal): Promise<void> {
+    if (version === this.count) await this.changeSignal.wait(clock, ms, signal);
   }
 }
--- a/packages/control/src/follow/otherControls.ts
+++ b/packages/control/src/follow/otherControls.ts
@@ -1,4 +1,4 @@
-/** What this control instance learns from the others. */
+/** Receives the reports that other control instances relay. */
 import type { Clock } from '@jasmineroute/core';
 import type { Listener } from '@jasmineroute/knowledge';
 import { KeptParts } from '@jasmineroute/protocol';
@@ -7,12 +7,12 @@
 import type { RelayedTargets } from '../targets/index.js';
 
 /**
- * What a lost instance told of caches and entries is believed for so long, milliseconds: by then its entries and targets
- * have gone to others.
+ * Time for which reports on caches and entries from a lost instance are kept, milliseconds: by then its entries and
+ * targets have moved to other instances.
  */
-const LOST_MS = 4_000;
+const LOST_RETENTION_MS = 4_000;
 
-/** Where it goes. */
+/** Where the reports are stored. */
 export interface OtherControlsParts {
   readonly relayed: RelayedTargets;
   /** Loads of targets, by their ids. */
@@ -24,17 +24,17 @@
   readonly clock: Clock;
 }
 
-/** Hears the other control instances: each tells what it was told itself. */
+/** Follows the other control instances; each sends the reports that it received directly. */
 export class OtherControls implements Listener {
-  /** What targets have in their caches, by the address of the target, or of the instance that tells of several. */
+  /** Cached blocks of targets, by the address of the instance that relays them or, for direct reports, of the target. */
   readonly cached = new KeptParts();
   private readonly entryCounts = new Map<string, number>();
-  private readonly forgetting = new Map<string, () => void>();
+  private readonly pendingRemovals = new Map<string, () => void>();
   private readonly listeners = new Set<() => void>();
 
   constructor(private readonly parts: OtherControlsParts) {}
 
-  /** Other instances need not send the configuration: the log brings it. */
+  /** Configuration number; 0, as the log replicates the configuration. */
   number(): number {
     return 0;
   }
@@ -43,19 +43,19 @@
     return this.parts.vouched();
   }
 
-  /** Entries that have other instances tell them loads, work and caches. */
+  /** Entries that receive loads, work and caches from other instances. */
   entries(): number {
     return [...this.entryCounts.values()].reduce((sum, count) => sum + count, 0);
   }
 
   apply(control: string, event: controlMessage.FollowEvent, whole: boolean): void {
     const { relayed, loads, work } = this.parts;
-    this.forgetting.get(control)?.();
-    this.forgetting.delete(control);
+    this.pendingRemovals.get(control)?.();
+    this.pendingRemovals.delete(control);
     this.entryCounts.set(control, event.entries);
     relayed.apply(control, event.targets, whole);
     for (const load of event.loads) loads.take(load.targetId, load, false);
-    for (const told of event.work) work.take(told.entry, told, false);
+    for (const report of event.work) work.take(report.entry, report, false);
     if (event.cached === undefined) return;
     this.cached.apply(control, event.cached);
     for (const listener of this.listeners) listener();
@@ -64,16 +64,16 @@
   lost(control: string): void {
     const { relayed, clock } = this.parts;
     relayed.lost(control);
-    this.forgetting.get(control)?.();
-    const calledOff = clock.after(LOST_MS, () => {
-      this.forgetting.delete(control);
+    this.pendingRemovals.get(control)?.();
+    const cancel = clock.after(LOST_RETENTION_MS, () => {
+      this.pendingRemovals.delete(control);
       this.entryCounts.delete(control);
       this.cached.forget(control);
     });
-    this.forgetting.set(control, calledOff);
+    this.pendingRemovals.set(control, cancel);
   }
 
-  /** Calls back after news of caches. Returns the way to stop. */
+  /** Calls back after changes of caches. @returns a function that unsubscribes. */
   onCached(listener: () => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
--- a/packages/control/src/follow/pacer.ts
+++ b/packages/control/src/follow/pacer.ts
@@ -1,40 +1,40 @@
-/** Spreads work over turns of the event loop. */
+/** Spreads work over iterations of the event loop. */
 
 /**
- * What comes before what: other control instances pass on what they are told; a follower that was told already costs little,
- * and gives its stream up when it hears nothing; one that knows nothing yet is told everything.
+ * From the highest priority to the lowest. Other control instances relay what they receive. A follower with earlier events
+ * (`told`) needs only an update, and gives its stream up when nothing arrives. A new follower (`first`) needs a snapshot.
  */
-const URGENCIES = ['control', 'told', 'first'] as const;
+const PRIORITIES = ['control', 'told', 'first'] as const;
 
-/** What a turn is asked for. */
-export type Urgency = (typeof URGENCIES)[number];
+/** Priority of a task. */
+export type Priority = (typeof PRIORITIES)[number];
 
-/** One turn of so many goes to the least urgent that waits, so that nothing waits for ever. */
-const TURNS_EACH = 4;
+/** In every so many iterations the lowest priority comes first, so that no task starves. */
+const REVERSED_ORDER_INTERVAL = 4;
 
-/** Lets one task go on in each turn of the event loop, the urgent ones first, else in the order in which they came. */
-export class Pacer {
-  private readonly waiting: Record<Urgency, (() => void)[]> = { control: [], told: [], first: [] };
-  private turns = 0;
+/** Resumes one task in each iteration of the event loop, by priority, then in the order of arrival. */
+export class EventLoopScheduler {
+  private readonly waiting: Record<Priority, (() => void)[]> = { control: [], told: [], first: [] };
+  private iterations = 0;
 
-  /** Whether a task that asks now waits for others. */
+  /** Whether tasks are waiting. */
   get isBusy(): boolean {
     return Object.values(this.waiting).some((tasks) => tasks.length > 0);
   }
 
-  /** Resolves when it is the caller's turn. */
-  next(urgency: Urgency): Promise<void> {
+  /** Resolves when the caller may go on. */
+  next(priority: Priority): Promise<void> {
     return new Promise((resolve) => {
-      if (!this.isBusy) setImmediate(this.pass);
-      this.waiting[urgency].push(resolve);
+      if (!this.isBusy) setImmediate(this.runNext);
+      this.waiting[priority].push(resolve);
     });
   }
 
-  private readonly pass = (): void => {
-    this.turns += 1;
-    const order = this.turns % TURNS_EACH === 0 ? URGENCIES.toReversed() : URGENCIES;
-    const urgency = order.find((one) => this.waiting[one].length > 0);
-    if (urgency !== undefined) this.waiting[urgency].shift()?.();
-    if (this.isBusy) setImmediate(this.pass);
+  private readonly runNext = (): void => {
+    this.iterations += 1;
+    const order = this.iterations % REVERSED_ORDER_INTERVAL === 0 ? PRIORITIES.toReversed() : PRIORITIES;
+    const priority = order.find((one) => this.waiting[one].length > 0);
+    if (priority !== undefined) this.waiting[priority].shift()?.();
+    if (this.isBusy) setImmediate(this.runNext);
   };
 }
--- a/packages/control/src/follow/referral.ts
+++ b/packages/control/src/follow/referral.ts
@@ -1,10 +1,10 @@
-/** For an instance that holds no log: which other one callers are to ask. */
+/** Refers the callers of an instance without a log to another instance. */
 import { Follower } from '@jasmineroute/knowledge';
 import type { FollowTaskParts, Listener } from '@jasmineroute/knowledge';
 
-/** Learns nothing from what it follows but that it is there. */
-const nothing: Listener = {
-  // Held already, whatever it is: no configuration is sent.
+/** Ignores the events of the followed instance; only its reachability matters. */
+const ignoreEvents: Listener = {
+  // The highest number, so that no configuration is sent.
   number: () => Number.MAX_SAFE_INTEGER,
   confirmed: () => true,
   entries: () => 0,
@@ -12,20 +12,20 @@
   lost: () => undefined,
 };
 
-/** What it works with. */
+/** Dependencies and addresses. */
 export interface ReferralParts extends Pick<FollowTaskParts, 'name' | 'peers' | 'clock' | 'log'> {
-  /** Control instances that are known from the start, host:port. */
+  /** Control instances from the settings, host:port. */
   readonly controls: readonly string[];
   /** Own address, host:port. */
   readonly own: string;
 }
 
-/** Follows one instance that is in contact with a quorum, and the next one when that is lost. */
+/** Follows one instance that is in contact with a quorum, and another one when that is lost. */
 export class Referral {
   private readonly follower: Follower;
 
   constructor(parts: ReferralParts) {
-    this.follower = new Follower({ ...parts, role: 'agent', listener: nothing, maxFollowed: 1 });
+    this.follower = new Follower({ ...parts, role: 'agent', listener: ignoreEvents, maxFollowed: 1 });
   }
 
   start(): void {
@@ -36,12 +36,12 @@
     this.follower.stop();
   }
 
-  /** Replaces the instances known from the settings. */
+  /** Replaces the instances from the settings. */
   reseed(controls: readonly string[]): void {
     this.follower.reseed(controls);
   }
 
-  /** Where such an instance listens, host:port; undefined while none is known. */
+  /** Address of the followed instance, host:port; undefined while there is none. */
   address(): string | undefined {
     return this.follower.first();
   }
--- a/packages/control/src/follow/reportIntake.ts
+++ b/packages/control/src/follow/reportIntake.ts
@@ -1,4 +1,4 @@
-/** Takes what processes report for others: loads and caches of targets, work of entries. */
+/** Receives the reports of processes: loads and caches of targets, work of entries. */
 import { create } from '@bufbuild/protobuf';
 import type { HandlerContext } from '@connectrpc/connect';
 import type { Clock, Log } from '@jasmineroute/core';
@@ -7,57 +7,57 @@
 import { controlEvents } from '../events.js';
 import type { RecentReports } from '../recent/index.js';
 
-/** Time between two beats, milliseconds: how a sender knows that it is still heard. */
-const BEAT_MS = 500;
+/** Time between two responses, milliseconds, by which a sender knows that the stream is alive. */
+const HEARTBEAT_MS = 500;
 
-/** What a target has in its cache is believed for so long, milliseconds: it is told again three times as often. */
-const CACHE_LASTS_MS = 5_000;
+/** Time after which a report on a cache expires unless renewed, milliseconds; senders renew it three times within it. */
+const CACHE_REPORT_LIFETIME_MS = 5_000;
 
-/** Where reports go. */
-export interface ReportBoards {
+/** Where reports are stored. */
+export interface ReportSinks {
   /** Loads of targets, by their ids. */
   readonly loads: RecentReports<controlMessage.TargetLoad>;
   /** Work of entries, by their names. */
   readonly work: RecentReports<controlMessage.EntryWork>;
   readonly clock: Clock;
   readonly log: Log;
-  /** Aborted when this process stops: streams end, and senders go on with the other instances. */
+  /** Aborted when this process stops: streams end, and senders switch to other instances. */
   readonly ended: AbortSignal;
 }
 
-/** The receiving side of reports. */
-export class ReportIntake {
-  /** What targets have in their caches, as the processes beside them tell it. */
+/** Receives report streams. */
+export class ReportReceiver {
+  /** Cached blocks of targets, as the processes beside them report them here. */
   readonly cached = new KeptParts();
-  private readonly cacheEnds = new Map<string, () => void>();
+  private readonly cacheExpiries = new Map<string, () => void>();
   private readonly listeners = new Set<() => void>();
 
-  /** @param allCached what all instances were told of caches, to which it adds what is told here. */
+  /** @param allCached cached blocks reported to any instance; the reports received here are added to it. */
   constructor(
-    private readonly boards: ReportBoards,
+    private readonly sinks: ReportSinks,
     private readonly allCached: KeptParts,
   ) {}
 
-  /** Calls back after news of caches. Returns the way to stop. */
+  /** Calls back after changes of caches. @returns a function that unsubscribes. */
   onCached(listener: () => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
-  /** Takes one process's reports, and beats until it ends them. */
-  async *take(
+  /** Receives the reports of one process, and responds regularly until it ends the stream. */
+  async *receive(
     requests: AsyncIterable<controlMessage.ReportRequest>,
     context: HandlerContext,
   ): AsyncGenerator<controlMessage.ReportResponse> {
-    const { clock, ended } = this.boards;
-    const read = new AbortController();
-    const signal = AbortSignal.any([ended, context.signal, read.signal]);
+    const { clock, ended } = this.sinks;
+    const readEnded = new AbortController();
+    const signal = AbortSignal.any([ended, context.signal, readEnded.signal]);
     void this.readAll(requests).finally(() => {
-      read.abort();
+      readEnded.abort();
     });
     while (!signal.aborted) {
       yield create(controlMessage.ReportResponseSchema, {});
-      await clock.sleep(BEAT_MS, signal).catch(() => undefined);
+      await clock.sleep(HEARTBEAT_MS, signal).catch(() => undefined);
     }
   }
 
@@ -65,13 +65,13 @@
     try {
       for await (const { report } of requests) this.apply(report);
     } catch (error) {
-      // A sender that ends or is cut off needs nothing from here: its reports grow old by themselves.
-      this.boards.log.event(controlEvents.reportStreamEnded, { problem: String(error) });
+      // Nothing to clean up after a sender that ends or is cut off: its reports expire by themselves.
+      this.sinks.log.event(controlEvents.reportStreamEnded, { problem: String(error) });
     }
   }
 
   private apply(report: controlMessage.ReportRequest['report']): void {
-    const { loads, work } = this.boards;
+    const { loads, work } = this.sinks;
     match(report)
       .with({ case: 'load' }, ({ value }) => {
         loads.take(value.targetId, value);
@@ -80,29 +80,29 @@
         work.take(value.entry, value);
       })
       .with({ case: 'cache' }, ({ value }) => {
-        this.keep(value);
+        this.applyCache(value);
       })
-      // Of a newer release: what it tells is not known here.
+      // A kind of report that only newer releases know.
       .with({ case: undefined }, () => undefined)
       .exhaustive();
   }
 
-  private keep({ address, changes }: controlMessage.TargetCache): void {
-    this.cacheEnds.get(address)?.();
-    const end = this.boards.clock.after(CACHE_LASTS_MS, () => {
-      this.cacheEnds.delete(address);
-      this.changeCached((cached) => {
+  private applyCache({ address, changes }: controlMessage.TargetCache): void {
+    this.cacheExpiries.get(address)?.();
+    const cancel = this.sinks.clock.after(CACHE_REPORT_LIFETIME_MS, () => {
+      this.cacheExpiries.delete(address);
+      this.updateCached((cached) => {
         cached.forget(address);
       });
     });
-    this.cacheEnds.set(address, end);
+    this.cacheExpiries.set(address, cancel);
     if (changes === undefined) return;
-    this.changeCached((cached) => {
+    this.updateCached((cached) => {
       cached.apply(address, changes);
     });
   }
 
-  private changeCached(change: (cached: KeptParts) => void): void {
+  private updateCached(change: (cached: KeptParts) => void): void {
     const place = this.cached.place();
     change(this.cached);
     change(this.allCached);
--- a/packages/control/src/follow/sharedFields.ts
+++ b/packages/control/src/follow/sharedFields.ts
@@ -1,28 +1,28 @@
-/** What followers of a kind are told alike, from where it is held. */
+/** Collects the event fields that are the same for all followers of a kind. */
 import { create } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 import type { KeptParts } from '@jasmineroute/protocol';
-import type { BulletinSource, SharedFields } from './bulletins.js';
+import type { UpdateSource, SharedFields } from './bulletins.js';
 import type { FollowSources } from './followSources.js';
 
-/** Work that was told is believed for so long, milliseconds: it is told again twice as often. */
-const WORK_LASTS_MS = 1_000;
+/** Age up to which a report on work counts, milliseconds; entries renew it twice within this time. */
+const WORK_MAX_AGE_MS = 1_000;
 
-/** Under this name an entry hears the work of all. */
-const ALL = 'all';
+/** Entry name of the summed work. */
+const ALL_ENTRIES = 'all';
 
-/** Targets, for all followers; loads, work and caches too, for entries that ask for them. */
-export class SharedFieldsSource implements BulletinSource {
-  private targetPlace = 0;
-  private relayedPlace = 0;
-  private loadPlace = 0;
-  private keptPlace = 0;
-  private workPlace = 0;
-  private cachedPlace = 0;
-  /** Joined addresses that were told last; undefined: none were. */
-  private toldHeard: string | undefined;
-  /** Work of single entries in the last sum. */
-  private summed: ReadonlyMap<string, controlMessage.EntryWork> = new Map();
+/** Supplies targets to all followers, and loads, work and caches to entries that request them. */
+export class SharedFieldsSource implements UpdateSource {
+  private targetPosition = 0;
+  private relayedPosition = 0;
+  private loadPosition = 0;
+  private keptPosition = 0;
+  private workPosition = 0;
+  private cachedPosition = 0;
+  /** Joined addresses that were returned last; undefined: none. */
+  private sentControls: string | undefined;
+  /** Reports of single entries in the last sum. */
+  private summedReports: ReadonlyMap<string, controlMessage.EntryWork> = new Map();
 
   constructor(
     private readonly sources: FollowSources,
@@ -30,77 +30,77 @@
   ) {}
 
   fields(whole: boolean): Partial<SharedFields> {
-    if (whole) this.begin();
+    if (whole) this.resetPositions();
     return { ...this.targets(), ...(this.isBulk && this.bulk()) };
   }
 
-  /** What an entry told itself of the work that was told last. */
+  /** The report of one entry that is part of the last sum. */
   workOf(entry: string): controlMessage.EntryWork | undefined {
-    return this.summed.get(entry);
+    return this.summedReports.get(entry);
   }
 
-  private begin(): void {
-    this.targetPlace = 0;
-    this.relayedPlace = 0;
-    this.loadPlace = 0;
-    this.keptPlace = 0;
-    this.workPlace = 0;
-    this.cachedPlace = 0;
-    this.toldHeard = undefined;
+  private resetPositions(): void {
+    this.targetPosition = 0;
+    this.relayedPosition = 0;
+    this.loadPosition = 0;
+    this.keptPosition = 0;
+    this.workPosition = 0;
+    this.cachedPosition = 0;
+    this.sentControls = undefined;
   }
 
   private targets(): Partial<SharedFields> {
     const { targets, relayed } = this.sources;
     const fields = {
-      targets: targets.since(this.targetPlace),
-      relayed: relayed.since(this.relayedPlace),
-      heard: this.heard(),
+      targets: targets.since(this.targetPosition),
+      relayed: relayed.since(this.relayedPosition),
+      heard: this.heardControls(),
     };
-    this.targetPlace = targets.place();
-    this.relayedPlace = relayed.place();
+    this.targetPosition = targets.lastChangeNumber();
+    this.relayedPosition = relayed.lastChangeNumber();
     return fields;
   }
 
-  private heard(): controlMessage.HeardControls | undefined {
-    const controls = this.sources.relayed.heard();
-    const told = controls.join();
-    if (told === this.toldHeard) return undefined;
-    this.toldHeard = told;
+  private heardControls(): controlMessage.HeardControls | undefined {
+    const controls = this.sources.relayed.connectedControls();
+    const joined = controls.join();
+    if (joined === this.sentControls) return undefined;
+    this.sentControls = joined;
     return create(controlMessage.HeardControlsSchema, { controls });
   }
 
   private bulk(): Partial<SharedFields> {
     const { loads, others, kept } = this.sources;
     const fields = {
-      loads: loads.since(this.loadPlace),
+      loads: loads.since(this.loadPosition),
       work: this.work(),
-      cached: changesOf(others.cached, this.cachedPlace),
-      kept: kept === undefined ? undefined : changesOf(kept, this.keptPlace),
+      cached: changesSince(others.cached, this.cachedPosition),
+      kept: kept === undefined ? undefined : changesSince(kept, this.keptPosition),
     };
-    this.loadPlace = loads.lastSequenceNumber();
-    this.cachedPlace = others.cached.place();
-    this.keptPlace = kept?.place() ?? 0;
+    this.loadPosition = loads.lastSequenceNumber();
+    this.cachedPosition = others.cached.place();
+    this.keptPosition = kept?.place() ?? 0;
     return fields;
   }
 
-  /** One sum for each target: what single entries have there would be as many times as much. */
+  /** One sum for each target: the reports of single entries would multiply the size by the number of entries. */
   private work(): controlMessage.EntryWork[] {
     const { work } = this.sources;
-    if (work.lastSequenceNumber() === this.workPlace) return [];
-    this.workPlace = work.lastSequenceNumber();
-    const recent = work.within(WORK_LASTS_MS);
-    this.summed = new Map(recent.map((told) => [told.entry, told]));
+    if (work.lastSequenceNumber() === this.workPosition) return [];
+    this.workPosition = work.lastSequenceNumber();
+    const recent = work.within(WORK_MAX_AGE_MS);
+    this.summedReports = new Map(recent.map((report) => [report.entry, report]));
     const sums = new Map<string, number>();
     for (const { targetId, tokens } of recent.flatMap(({ targets }) => targets))
       sums.set(targetId, (sums.get(targetId) ?? 0) + tokens);
     const targets = [...sums].map(([targetId, tokens]) =>
       create(controlMessage.TargetTokensSchema, { targetId, tokens }),
     );
-    return [create(controlMessage.EntryWorkSchema, { entry: ALL, targets })];
+    return [create(controlMessage.EntryWorkSchema, { entry: ALL_ENTRIES, targets })];
   }
 }
 
-/** What changed of caches after a place. */
-export function changesOf(parts: KeptParts, place: number): controlMessage.KeptChanges | undefined {
-  return parts.place() === place ? undefined : parts.since(place);
+/** Changes of cached blocks after a position. */
+export function changesSince(parts: KeptParts, position: number): controlMessage.KeptChanges | undefined {
+  return parts.place() === position ? undefined : parts.since(position);
 }
--- a/packages/control/src/role/control.ts
+++ b/packages/control/src/role/control.ts
@@ -12,7 +12,7 @@
 import { ConfigurationService } from '../configuration/index.js';
 import { DocumentService, DocumentView } from '../documents/index.js';
 import { controlEvents } from '../events.js';
-import { FollowService, OtherControls, Referral, enlist } from '../follow/index.js';
+import { FollowService, OtherControls, Referral, requestVoterRole } from '../follow/index.js';
 import { RecentReports } from '../recent/index.js';
 import { DisklessLog, Proposer } from '../log/index.js';
 import type { CommandLog } from '../log/index.js';
@@ -47,9 +47,9 @@
   private readonly proposer: Proposer;
   private readonly view: DocumentView;
   private readonly members: Membership;
-  private readonly source: ControlDocumentSource;
-  private readonly timeKeeper: LogTimeAdvancer;
-  private readonly replicaKeeper: ReplicaReconciler;
+  private readonly documentSource: ControlDocumentSource;
+  private readonly logTimeAdvancer: LogTimeAdvancer;
+  private readonly replicaReconciler: ReplicaReconciler;
   /** Numbered configurations, for operators' interfaces in this process. */
   readonly configurations: ConfigurationService;
   /** Announced targets, for interfaces in this process that targets call. */
@@ -81,9 +81,9 @@
     this.proposer = new Proposer(commandLog, { ...PROPOSER_LIMITS, timeoutMs: settings.proposalTimeoutMs });
     this.view = new DocumentView(state.documents, log);
     this.members = createMembership(context, commandLog, this.view, settings.replicas);
-    this.source = new ControlDocumentSource(state.documents, commandLog);
-    this.timeKeeper = new LogTimeAdvancer(state.machine, commandLog, this.proposer, clock, log);
-    this.replicaKeeper = new ReplicaReconciler(this.view, commandLog, clock, log);
+    this.documentSource = new ControlDocumentSource(state.documents, commandLog);
+    this.logTimeAdvancer = new LogTimeAdvancer(state.machine, commandLog, this.proposer, clock, log);
+    this.replicaReconciler = new ReplicaReconciler(this.view, commandLog, clock, log);
     this.targets = new TargetBook(clock, log, settings.targetHeartbeatMs);
     this.loads = new RecentReports(clock);
     this.work = new RecentReports(clock);
@@ -101,11 +101,11 @@
     this.follow = this.createFollow();
     this.configurations = new ConfigurationService(state.configuration, this.proposer, clock, log);
     this.unreadableCalls = new ProblemTally(log, controlEvents.unreadableCall);
-    this.source.onChange(() => {
-      this.measure();
+    this.documentSource.onChange(() => {
+      this.recordMetrics();
       // Not within the step of the log, which others wait for.
       setImmediate(() => {
-        this.replicaKeeper.reconcile();
+        this.replicaReconciler.reconcile();
       });
     });
     state.machine.onError((error) => {
@@ -154,7 +154,7 @@
       report: (requests, call) => follow.report(requests, call),
     });
     serveDirectory(router, {
-      documents: this.source,
+      documents: this.documentSource,
       instances: this.members,
       beats: this.members,
       clock,
@@ -164,17 +164,17 @@
 
   async start(address: string): Promise<void> {
     await this.commandLog.start(address);
-    if (this.settings.gossip) this.members.start(() => this.self(address));
+    if (this.settings.gossip) this.members.start(() => this.ownInstance(address));
     runLasting('targets', this.targets.run());
     this.stores?.start();
-    if (this.commandLog instanceof DisklessLog) this.refer(address);
+    if (this.commandLog instanceof DisklessLog) this.startReferral(address);
     if (this.settings.enlists) {
-      runLasting('wish to vote', this.enlist(address));
-      this.followOthers(address);
-      if (this.outside.orders !== undefined) this.startWeights(this.outside.orders);
+      runLasting('wish to vote', this.requestVoterRole(address));
+      this.followOtherControls(address);
+      if (this.outside.orders !== undefined) this.startWeightUpdater(this.outside.orders);
     }
-    runLasting('time of the log', this.timeKeeper.run());
-    runLasting('replicas of the document', this.replicaKeeper.run());
+    runLasting('time of the log', this.logTimeAdvancer.run());
+    runLasting('replicas of the document', this.replicaReconciler.run());
     this.context.log.event(controlEvents.started, { address });
   }
 
@@ -203,14 +203,14 @@
   async drain(): Promise<void> {
     this.draining = true;
     this.context.log.event(controlEvents.draining);
-    this.replicaKeeper.stop();
+    this.replicaReconciler.stop();
     this.ended.abort();
     await this.proposer.idle();
   }
 
   async close(): Promise<void> {
-    this.timeKeeper.stop();
-    this.replicaKeeper.stop();
+    this.logTimeAdvancer.stop();
+    this.replicaReconciler.stop();
     this.targets.stop();
     this.stores?.stop();
     this.follower?.stop();
@@ -234,7 +234,7 @@
   }
 
   /** Without a disk it can take nothing: callers would come back again and again, and go to the next one late. */
-  private refer(own: string): void {
+  private startReferral(own: string): void {
     const { name, peers, clock, log } = this.context;
     this.referral = new Referral({ name, controls: this.seeds, own, peers, clock, log });
     this.referral.start();
@@ -257,12 +257,12 @@
       log,
       ended: this.ended.signal,
     });
-    stores?.onChange(follow.raise);
+    stores?.onChange(follow.notify);
     return follow;
   }
 
   /** Brings weights to targets that no process beside them reports of. */
-  private startWeights(orders: RemoteOrders): void {
+  private startWeightUpdater(orders: RemoteOrders): void {
     const { name, incarnation, clock, log } = this.context;
     const { follow, proposer, commandLog, loads } = this;
     const parts = { name, incarnation, follow, proposer, commandLog, loads, orders, clock, log };
@@ -271,22 +271,22 @@
   }
 
   /** Hears what all other control instances are told, so that whoever follows this one hears it too. */
-  private followOthers(own: string): void {
+  private followOtherControls(own: string): void {
     const { name, peers, clock, log } = this.context;
     const parts = { name, role: 'control', listener: this.others, peers, clock, log } as const;
-    const wantsBulk = (): boolean => this.follow.tellsEntries();
+    const wantsBulk = (): boolean => this.follow.hasEntryStreams();
     const most = Number.POSITIVE_INFINITY;
     this.follower = new Follower({ ...parts, controls: this.seeds, maxFollowed: most, own, wantsBulk });
     this.follower.start();
   }
 
-  private enlist(address: string): Promise<void> {
+  private requestVoterRole(address: string): Promise<void> {
     const { name, peers, clock, log } = this.context;
     const { commandLog } = this;
     const known = (): readonly string[] => [
       ...new Set([...this.seeds, ...commandLog.members().map((member) => member.address)]),
     ];
-    return enlist({ name, address, known, commandLog, peers, clock, log }, this.ended.signal);
+    return requestVoterRole({ name, address, known, commandLog, peers, clock, log }, this.ended.signal);
   }
 
   private leaderAddress(): string {
@@ -295,12 +295,12 @@
   }
 
   /** This instance as it appears in the list of instances. */
-  private self(address: string): InstanceMessage {
+  private ownInstance(address: string): InstanceMessage {
     const { name, incarnation, dataCentre } = this.context;
     const { Health, Role, InstanceSchema } = controlMessage;
     const health = this.draining ? Health.LEAVING : Health.ALIVE;
     const sequence = this.draining ? 2n : 1n;
-    const revision = this.source.revision();
+    const revision = this.documentSource.revision();
     const role = Role.CONTROL;
     return create(InstanceSchema, {
       name,
@@ -314,10 +314,10 @@
     });
   }
 
-  private measure(): void {
+  private recordMetrics(): void {
     const { metrics } = this.context;
-    metrics.gauge(controlMetrics.revision, Number(this.source.revision()));
-    metrics.gauge(controlMetrics.vouched, this.source.vouched() ? 1 : 0);
+    metrics.gauge(controlMetrics.revision, Number(this.documentSource.revision()));
+    metrics.gauge(controlMetrics.vouched, this.documentSource.vouched() ? 1 : 0);
     metrics.gauge(controlMetrics.claimsHeld, this.state.claims.size());
   }
 }
--- a/packages/control/src/role/createControl.ts
+++ b/packages/control/src/role/createControl.ts
@@ -21,7 +21,7 @@
  * Entries and bytes between two snapshots. A snapshot writes the whole state, claims included, so it is taken
  * more seldom than the log would by itself; a restart reads up to so many entries again.
  */
-const SNAPSHOT = { snapshotEntries: 20_000, snapshotBytes: 32 * 1024 * 1024 };
+const SNAPSHOT_INTERVAL = { snapshotEntries: 20_000, snapshotBytes: 32 * 1024 * 1024 };
 
 /**
  * Opens the data folder and restores the state. `disk` is the machine's own but for tests and benchmarks; what of
@@ -59,7 +59,7 @@
     onFailure: (error) => {
       failTask('replica', error);
     },
-    ...SNAPSHOT,
+    ...SNAPSHOT_INTERVAL,
   });
   return opened.map((replicatedLog) => new Control(context, settings, state, replicatedLog, outside));
 }
--- a/packages/control/src/targets/relayedTargets.spec.ts
+++ b/packages/control/src/targets/relayedTargets.spec.ts
@@ -56,7 +56,7 @@
     const place = this.exchanged.get(way);
     const book = this.books[from];
     this.relays[to]?.apply(controlName(from), book?.since(place ?? 0) ?? [], place === undefined);
-    this.exchanged.set(way, book?.place() ?? 0);
+    this.exchanged.set(way, book?.lastChangeNumber() ?? 0);
   }
 
   cut(from: number, to: number): void {
@@ -72,12 +72,12 @@
     const event = create(controlMessage.FollowEventSchema, {
       targets: book.since(place.own),
       relayed: relay.since(place.relayed),
-      heard: { controls: relay.heard() },
+      heard: { controls: relay.connectedControls() },
     });
     this.knowledge.apply(controlName(hub), event, !this.told.has(hub));
     for (const { name, announcement } of [...event.targets, ...event.relayed.flatMap((one) => one.targets)])
       if (announcement === Announcement.DRAINING || announcement === Announcement.LEFT) this.final.add(name);
-    this.told.set(hub, { own: book.place(), relayed: relay.place() });
+    this.told.set(hub, { own: book.lastChangeNumber(), relayed: relay.lastChangeNumber() });
   }
 
   /** Targets of which the process was told that they drain or left. */
--- a/packages/control/src/targets/relayedTargets.ts
+++ b/packages/control/src/targets/relayedTargets.ts
@@ -4,22 +4,22 @@
 import { controlMessage } from '@jasmineroute/protocol';
 
 /** A target that left or fell silent is forgotten after so long, milliseconds, as the instance that told it does. */
-const FORGET_MS = 120_000;
+const REMOVAL_DELAY_MS = 120_000;
 
 const { Announcement } = controlMessage;
 
-interface Relayed {
+interface RelayedRecord {
   readonly target: controlMessage.AnnouncedTarget;
-  readonly place: number;
-  readonly at: number;
+  readonly changeNumber: number;
+  readonly receivedAt: number;
 }
 
-interface Source {
+interface ControlSource {
   /** By id. */
-  readonly targets: Map<string, Relayed>;
+  readonly targets: Map<string, RelayedRecord>;
   /** Place at which all that it had told before was replaced. */
-  wholePlace: number;
-  isHeard: boolean;
+  snapshotChangeNumber: number;
+  isConnected: boolean;
 }
 
 /**
@@ -27,21 +27,21 @@
  * each of them.
  */
 export class RelayedTargets {
-  private readonly sources = new Map<string, Source>();
+  private readonly sources = new Map<string, ControlSource>();
   private readonly listeners = new Set<() => void>();
-  private lastPlace = 0;
+  private changeNumber = 0;
 
   constructor(private readonly clock: Clock) {}
 
   /** Place of the newest change. */
-  place(): number {
-    return this.lastPlace;
+  lastChangeNumber(): number {
+    return this.changeNumber;
   }
 
   /** What changed after a place, by instance; 0 gives all. */
   since(place: number): controlMessage.RelayedTargets[] {
-    return [...this.sources].flatMap(([control, { targets, wholePlace }]) => {
-      const changed = [...targets.values()].filter((one) => one.place > place);
+    return [...this.sources].flatMap(([control, { targets, snapshotChangeNumber: wholePlace }]) => {
+      const changed = [...targets.values()].filter((one) => one.changeNumber > place);
       const whole = wholePlace > place;
       if (changed.length === 0 && !whole) return [];
       const told = changed.map(({ target }) => target);
@@ -50,8 +50,8 @@
   }
 
   /** Instances that are heard now, host:port. */
-  heard(): string[] {
-    return [...this.sources].filter(([, { isHeard }]) => isHeard).map(([control]) => control);
+  connectedControls(): string[] {
+    return [...this.sources].filter(([, { isConnected: isHeard }]) => isHeard).map(([control]) => control);
   }
 
   /** The newest word of a target, whoever told it. */
@@ -63,27 +63,28 @@
   /** Takes what an instance tells; `whole`: all that it knows. */
   apply(control: string, targets: readonly controlMessage.AnnouncedTarget[], whole: boolean): void {
     const source = this.sourceOf(control);
-    const isNews = whole || targets.length > 0 || !source.isHeard;
+    const isNews = whole || targets.length > 0 || !source.isConnected;
     if (!isNews) return;
-    this.lastPlace += 1;
-    source.isHeard = true;
+    this.changeNumber += 1;
+    source.isConnected = true;
     if (whole) {
       source.targets.clear();
-      source.wholePlace = this.lastPlace;
+      source.snapshotChangeNumber = this.changeNumber;
     }
     const at = this.clock.monotonic();
-    for (const target of targets) source.targets.set(target.id, { target, place: this.lastPlace, at });
-    this.forgetGone(source);
-    this.raise();
+    for (const target of targets)
+      source.targets.set(target.id, { target, changeNumber: this.changeNumber, receivedAt: at });
+    this.removeExpired(source);
+    this.notify();
   }
 
   /** An instance is heard no more. What it told stays until it is back: followers know how old that is. */
   lost(control: string): void {
     const source = this.sources.get(control);
-    if (source?.isHeard !== true) return;
-    source.isHeard = false;
-    this.lastPlace += 1;
-    this.raise();
+    if (source?.isConnected !== true) return;
+    source.isConnected = false;
+    this.changeNumber += 1;
+    this.notify();
   }
 
   /** Calls back after each change. Returns the way to stop. */
@@ -92,24 +93,24 @@
     return () => this.listeners.delete(listener);
   }
 
-  private sourceOf(control: string): Source {
+  private sourceOf(control: string): ControlSource {
     const known = this.sources.get(control);
     if (known !== undefined) return known;
-    const made: Source = { targets: new Map(), wholePlace: 0, isHeard: false };
+    const made: ControlSource = { targets: new Map(), snapshotChangeNumber: 0, isConnected: false };
     this.sources.set(control, made);
     return made;
   }
 
-  private forgetGone({ targets }: Source): void {
-    const before = this.clock.monotonic() - FORGET_MS;
-    for (const [id, { target, at }] of targets) {
+  private removeExpired({ targets }: ControlSource): void {
+    const before = this.clock.monotonic() - REMOVAL_DELAY_MS;
+    for (const [id, { target, receivedAt: at }] of targets) {
       const speaks =
         target.announcement === Announcement.READY || target.announcement === Announcement.DRAINING;
       if (!speaks && at < before) targets.delete(id);
     }
   }
 
-  private raise(): void {
+  private notify(): void {
     for (const listener of this.listeners) listener();
   }
 }
--- a/packages/control/src/targets/targetBook.spec.ts
+++ b/packages/control/src/targets/targetBook.spec.ts
@@ -43,7 +43,7 @@
 
   it('tells followers of changes only', () => {
     book.beat(heartbeat(1));
-    const place = book.place();
+    const place = book.lastChangeNumber();
     book.beat(heartbeat(2));
     expect(book.since(place)).toEqual([]);
     book.beat(heartbeat(3, { draining: true }));
@@ -85,7 +85,7 @@
     // Cause: it was believed of the target, whichever start had sent it.
     book.beat(heartbeat(40, { born: 1_000 }));
     book.beat(heartbeat(1, { born: 2_000 }));
-    const place = book.place();
+    const place = book.lastChangeNumber();
     book.beat(heartbeat(41, { born: 1_000 }));
     book.beat(heartbeat(42));
     book.leave({ name: 't1', born: 1_000 });
@@ -124,10 +124,10 @@
   it('finds a target silent that says nothing for three heartbeats, and hears it again', async () => {
     book.beat(heartbeat(1));
     await clock.advance(3 * HEARTBEAT_MS);
-    book.look();
+    book.checkExpiry();
     expect(state()).toBe(Announcement.READY);
     await clock.advance(1);
-    book.look();
+    book.checkExpiry();
     expect(state()).toBe(Announcement.SILENT);
     book.beat(heartbeat(2));
     expect(state()).toBe(Announcement.READY);
@@ -149,7 +149,7 @@
     expect(book.since(0)[0]?.paused).toBe(true);
     await clock.advance(6_001);
     book.beat(heartbeat(2));
-    book.look();
+    book.checkExpiry();
     expect(book.since(0)[0]?.paused).toBe(false);
   });
 
--- a/packages/control/src/targets/targetBook.ts
+++ b/packages/control/src/targets/targetBook.ts
@@ -9,19 +9,19 @@
 const MISSED_HEARTBEATS = 3;
 
 /** Time after which a target that left or fell silent is forgotten, milliseconds: longer than a call may be late. */
-const FORGET_MS = 120_000;
+const REMOVAL_DELAY_MS = 120_000;
 
 /** A pause that was not renewed for so long is over, milliseconds: whoever asked for it is gone. */
-const PAUSE_MS = 6_000;
+const PAUSE_LIFETIME_MS = 6_000;
 
 /**
  * A leave that does not tell its start is taken for one of the start before while the newest was first heard of less than
  * so long ago, milliseconds: calls arrive seconds late, and no target is stopped as planned as soon as it has started.
  */
-const LATE_LEAVE_MS = 5_000;
+const LATE_LEAVE_WINDOW_MS = 5_000;
 
 /** How often silence is looked for, milliseconds. */
-const LOOK_MS = 300;
+const EXPIRY_CHECK_MS = 300;
 
 const { Announcement, AnnouncedTargetSchema } = controlMessage;
 
@@ -40,18 +40,18 @@
   readonly unread?: Unread;
 }
 
-interface Entry {
+interface TargetRecord {
   readonly target: controlMessage.AnnouncedTarget;
-  readonly heardAt: number;
-  readonly firstHeardAt: number;
+  readonly lastHeartbeatAt: number;
+  readonly firstHeartbeatAt: number;
   /** When the last observation came; absent: none. */
   readonly observedAt?: number;
   /** Place of the last change that followers must hear of. */
-  readonly place: number;
+  readonly changeNumber: number;
 }
 
 /** A target's state, without what changes with each heartbeat. */
-function essence(target: controlMessage.AnnouncedTarget): string {
+function comparableState(target: controlMessage.AnnouncedTarget): string {
   const { service, address, announcement, capacity, weights, paused } = target;
   const versions = weights.map(({ model, version }) => `${model}@${version}`);
   return [service, address, announcement, capacity, paused, ...versions].join(' ');
@@ -62,10 +62,10 @@
  * them, so a heartbeat need not go to a certain instance, and none waits for a quorum.
  */
 export class TargetBook {
-  private readonly entries = new Map<string, Entry>();
-  private readonly newest = new NewestStarts();
+  private readonly entries = new Map<string, TargetRecord>();
+  private readonly newestStarts = new NewestStarts();
   private readonly listeners = new Set<() => void>();
-  private lastPlace = 0;
+  private changeNumber = 0;
   private readonly ended = new AbortController();
 
   constructor(
@@ -75,13 +75,15 @@
   ) {}
 
   /** Place of the newest change. */
-  place(): number {
-    return this.lastPlace;
+  lastChangeNumber(): number {
+    return this.changeNumber;
   }
 
   /** Targets that changed after a place; 0 gives all. */
   since(place: number): controlMessage.AnnouncedTarget[] {
-    return [...this.entries.values()].filter((entry) => entry.place > place).map(({ target }) => target);
+    return [...this.entries.values()]
+      .filter((entry) => entry.changeNumber > place)
+      .map(({ target }) => target);
   }
 
   /** Calls back after each change. Returns the way to stop. */
@@ -98,7 +100,7 @@
     if (this.isOld(heartbeat)) return;
     const known = this.entries.get(startId(heartbeat));
     const { sequence } = heartbeat;
-    if (known !== undefined && this.isOvertaken(known.target, sequence)) return;
+    if (known !== undefined && this.isStale(known.target, sequence)) return;
     this.put(targetOf(heartbeat, known?.target));
   }
 
@@ -123,7 +125,7 @@
   observe({ targetId, observation, paused, weights }: controlMessage.ObserveRequest): boolean {
     const known = this.entries.get(targetId);
     if (known === undefined) return false;
-    const { target, heardAt } = known;
+    const { target, lastHeartbeatAt: heardAt } = known;
     if (observation < target.observation) return true;
     const newest = newerWeights(target.weights, weights);
     this.put({ ...target, paused, observation, weights: newest }, heardAt, this.clock.monotonic());
@@ -135,7 +137,7 @@
    * start, unless that is so new that it must be a late call of the one before.
    */
   leave(told: TargetStart): void {
-    const start = told.born === undefined ? (this.newest.of(told.name) ?? told) : told;
+    const start = told.born === undefined ? (this.newestStarts.of(told.name) ?? told) : told;
     if (this.isOld(start)) return;
     const id = startId(start);
     const known = this.entries.get(id);
@@ -149,8 +151,8 @@
   async run(): Promise<void> {
     const { signal } = this.ended;
     while (!signal.aborted) {
-      this.look();
-      await this.clock.sleep(LOOK_MS, signal).catch(() => undefined);
+      this.checkExpiry();
+      await this.clock.sleep(EXPIRY_CHECK_MS, signal).catch(() => undefined);
     }
   }
 
@@ -159,15 +161,15 @@
   }
 
   /** Marks targets that were not heard for too long, and forgets those that are gone for good. */
-  look(): void {
+  checkExpiry(): void {
     const now = this.clock.monotonic();
-    for (const { target, heardAt, observedAt = now } of [...this.entries.values()]) {
+    for (const { target, lastHeartbeatAt: heardAt, observedAt = now } of [...this.entries.values()]) {
       const silentMs = now - heardAt;
-      if (target.paused && now - observedAt > PAUSE_MS) {
+      if (target.paused && now - observedAt > PAUSE_LIFETIME_MS) {
         this.put({ ...target, paused: false }, heardAt);
         continue;
       }
-      if (silentMs > FORGET_MS) this.forget(target);
+      if (silentMs > REMOVAL_DELAY_MS) this.remove(target);
       else if (this.isSilent(target, silentMs))
         this.put({ ...target, announcement: Announcement.SILENT }, heardAt);
     }
@@ -178,14 +180,14 @@
     return speaks && silentMs > MISSED_HEARTBEATS * this.heartbeatMs;
   }
 
-  private forget(target: controlMessage.AnnouncedTarget): void {
+  private remove(target: controlMessage.AnnouncedTarget): void {
     this.entries.delete(target.id);
-    this.newest.forget(startOf(target));
+    this.newestStarts.forget(startOf(target));
   }
 
   /** Whether a newer start was heard of. The start that this one follows is over: nobody must use it. */
   private isOld(start: TargetStart): boolean {
-    const { isOld, ended } = this.newest.hear(start);
+    const { isOld, ended } = this.newestStarts.hear(start);
     const before = ended === undefined ? undefined : this.entries.get(startId(ended))?.target;
     if (before !== undefined && before.announcement !== Announcement.LEFT) {
       this.put({ ...before, announcement: Announcement.LEFT });
@@ -194,15 +196,15 @@
   }
 
   /** Whether a leave without a start is too early for the newest one, and another start was known before it. */
-  private isLateLeave({ target, firstHeardAt }: Entry): boolean {
+  private isLateLeave({ target, firstHeartbeatAt: firstHeardAt }: TargetRecord): boolean {
     const hasOlder = [...this.entries.values()].some(
       (other) => other.target.name === target.name && other.target.id !== target.id,
     );
-    return hasOlder && this.clock.monotonic() - firstHeardAt < LATE_LEAVE_MS;
+    return hasOlder && this.clock.monotonic() - firstHeardAt < LATE_LEAVE_WINDOW_MS;
   }
 
   /** A start of a target that left never comes back. */
-  private isOvertaken(known: controlMessage.AnnouncedTarget, sequence: number): boolean {
+  private isStale(known: controlMessage.AnnouncedTarget, sequence: number): boolean {
     return known.announcement === Announcement.LEFT || known.sequence >= BigInt(sequence);
   }
 
@@ -212,11 +214,17 @@
     observedAt = this.entries.get(target.id)?.observedAt,
   ): void {
     const known = this.entries.get(target.id);
-    const isNews = known === undefined || essence(known.target) !== essence(target);
-    if (isNews) this.lastPlace += 1;
-    const place = isNews ? this.lastPlace : known.place;
-    const firstHeardAt = known?.firstHeardAt ?? heardAt;
-    this.entries.set(target.id, { target, heardAt, firstHeardAt, observedAt, place });
+    const isNews = known === undefined || comparableState(known.target) !== comparableState(target);
+    if (isNews) this.changeNumber += 1;
+    const place = isNews ? this.changeNumber : known.changeNumber;
+    const firstHeardAt = known?.firstHeartbeatAt ?? heardAt;
+    this.entries.set(target.id, {
+      target,
+      lastHeartbeatAt: heardAt,
+      firstHeartbeatAt: firstHeardAt,
+      observedAt,
+      changeNumber: place,
+    });
     if (!isNews) return;
     this.log.event(controlEvents.targetAnnounced, {
       target: target.id,
--- a/packages/control/src/turns/turnState.ts
+++ b/packages/control/src/turns/turnState.ts
@@ -11,7 +11,7 @@
 export const MAX_NAMES = 20_000;
 
 /** A hundredth more time for the holder: clocks of two machines don't run equally fast. */
-const DRIFT_PARTS = 100;
+const DRIFT_DIVISOR = 100;
 
 interface Lease {
   readonly holder: string;
@@ -25,15 +25,15 @@
  * stand up to one step behind that moment, and the next step would then end the lease early, with a second
  * holder beside the first: so one whole step is added.
  */
-function endOfLease(now: LogTime, ttlMs: number): LogTime {
+function leaseExpiry(now: LogTime, ttlMs: number): LogTime {
   const ttl = Math.min(ttlMs, MAX_TTL_MS);
-  return now + MAX_STEP_MS + ttl + Math.ceil(ttl / DRIFT_PARTS);
+  return now + MAX_STEP_MS + ttl + Math.ceil(ttl / DRIFT_DIVISOR);
 }
 
 /** Leases by name. They end by the state's time alone, so an isolated or paused instance can end none. */
 export class TurnState implements Feature {
   private lastFence = 0n;
-  private readonly names = new Map<string, Lease[]>();
+  private readonly leasesByName = new Map<string, Lease[]>();
 
   readonly handlers: CommandHandlers = {
     take: (request, now) => ({ case: 'take', value: this.take(request, now) }),
@@ -41,19 +41,21 @@
   };
 
   advanceTo(now: LogTime): void {
-    for (const [name, leases] of this.names)
-      this.keep(
+    for (const [name, leases] of this.leasesByName)
+      this.setLeases(
         name,
         leases.filter(({ expires }) => expires > now),
       );
   }
 
   hasPendingExpiry(): boolean {
-    return this.names.size > 0;
+    return this.leasesByName.size > 0;
   }
 
   snapshot(): Uint8Array {
-    const turns = [...this.names].flatMap(([name, leases]) => leases.map((lease) => recordOf(name, lease)));
+    const turns = [...this.leasesByName].flatMap(([name, leases]) =>
+      leases.map((lease) => recordOf(name, lease)),
+    );
     const snapshot = create(stateMessage.TurnsSnapshotSchema, { lastFence: this.lastFence, turns });
     return toBinary(stateMessage.TurnsSnapshotSchema, snapshot);
   }
@@ -61,45 +63,45 @@
   restore(data: Uint8Array): void {
     const snapshot = fromBinary(stateMessage.TurnsSnapshotSchema, data);
     this.lastFence = snapshot.lastFence;
-    this.names.clear();
+    this.leasesByName.clear();
     for (const { name, holder, incarnation, fence, expiresMs } of snapshot.turns) {
       const lease = { holder, incarnation, fence, expires: Number(expiresMs) };
-      this.names.set(name, [...(this.names.get(name) ?? []), lease]);
+      this.leasesByName.set(name, [...(this.leasesByName.get(name) ?? []), lease]);
     }
   }
 
   private take(request: controlMessage.TakeRequest, now: LogTime): controlMessage.TakeResponse {
-    const leases = this.names.get(request.name) ?? [];
+    const leases = this.leasesByName.get(request.name) ?? [];
     const own = leases.find((lease) => lease.holder === request.holder);
     // An older start of the holder may still act, paused or cut off: the new one waits until its time is over.
     if (own !== undefined && own.incarnation !== request.incarnation) return refusal();
-    if (own === undefined && !this.hasRoom(request, leases)) return refusal();
+    if (own === undefined && !this.isWithinLimits(request, leases)) return refusal();
     const lease = {
       holder: request.holder,
       incarnation: request.incarnation,
       fence: own?.fence ?? this.nextFence(),
-      expires: Math.max(own?.expires ?? 0, endOfLease(now, request.ttlMs)),
+      expires: Math.max(own?.expires ?? 0, leaseExpiry(now, request.ttlMs)),
     };
-    this.names.set(request.name, [...leases.filter((other) => other !== own), lease]);
+    this.leasesByName.set(request.name, [...leases.filter((other) => other !== own), lease]);
     return create(controlMessage.TakeResponseSchema, { granted: true, fence: lease.fence });
   }
 
-  private hasRoom(request: controlMessage.TakeRequest, leases: readonly Lease[]): boolean {
-    if (leases.length === 0 && this.names.size >= MAX_NAMES) return false;
+  private isWithinLimits(request: controlMessage.TakeRequest, leases: readonly Lease[]): boolean {
+    if (leases.length === 0 && this.leasesByName.size >= MAX_NAMES) return false;
     return leases.length < request.limit;
   }
 
   private release(request: controlMessage.ReleaseRequest): controlMessage.ReleaseResponse {
-    const leases = this.names.get(request.name) ?? [];
+    const leases = this.leasesByName.get(request.name) ?? [];
     const { holder, incarnation } = request;
     const others = leases.filter((lease) => lease.holder !== holder || lease.incarnation !== incarnation);
-    this.keep(request.name, others);
+    this.setLeases(request.name, others);
     return create(controlMessage.ReleaseResponseSchema, {});
   }
 
-  private keep(name: string, leases: Lease[]): void {
-    if (leases.length > 0) this.names.set(name, leases);
-    else this.names.delete(name);
+  private setLeases(name: string, leases: Lease[]): void {
+    if (leases.length > 0) this.leasesByName.set(name, leases);
+    else this.leasesByName.delete(name);
   }
 
   /** One count for all names: a name may be forgotten and its fences still only grow. */
