--- a/packages/control/src/targets/relayedTargets.ts
+++ b/packages/control/src/targets/relayedTargets.ts
@@ -1,9 +1,9 @@
-/** Targets that other control instances heard, as they tell of them. */
+/** Targets that other control instances report. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock } from '@jasmineroute/core';
 import { controlMessage } from '@jasmineroute/protocol';
 
-/** A target that left or fell silent is forgotten after so long, milliseconds, as the instance that told it does. */
+/** Time after which a target that left or is silent is removed, milliseconds; the reporting instance uses the same. */
 const REMOVAL_DELAY_MS = 120_000;
 
 const { Announcement } = controlMessage;
@@ -17,14 +17,14 @@
 interface ControlSource {
   /** By id. */
   readonly targets: Map<string, RelayedRecord>;
-  /** Place at which all that it had told before was replaced. */
+  /** Number of the change by which a full report last replaced its targets. */
   snapshotChangeNumber: number;
   isConnected: boolean;
 }
 
 /**
- * A book for each of the other instances, so that a follower of one instance knows what all of them hear, as if it followed
- * each of them.
+ * The targets of each other instance, so that a follower of one instance knows the targets of all, as if it followed each of
+ * them.
  */
 export class RelayedTargets {
   private readonly sources = new Map<string, ControlSource>();
@@ -33,52 +33,52 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Place of the newest change. */
+  /** Number of the newest change. */
   lastChangeNumber(): number {
     return this.changeNumber;
   }
 
-  /** What changed after a place, by instance; 0 gives all. */
-  since(place: number): controlMessage.RelayedTargets[] {
-    return [...this.sources].flatMap(([control, { targets, snapshotChangeNumber: wholePlace }]) => {
-      const changed = [...targets.values()].filter((one) => one.changeNumber > place);
-      const whole = wholePlace > place;
+  /** Changes after a change number, by instance; 0 gives all targets. */
+  since(changeNumber: number): controlMessage.RelayedTargets[] {
+    return [...this.sources].flatMap(([control, { targets, snapshotChangeNumber }]) => {
+      const changed = [...targets.values()].filter((one) => one.changeNumber > changeNumber);
+      const whole = snapshotChangeNumber > changeNumber;
       if (changed.length === 0 && !whole) return [];
-      const told = changed.map(({ target }) => target);
-      return [create(controlMessage.RelayedTargetsSchema, { control, whole, targets: told })];
+      const changedTargets = changed.map(({ target }) => target);
+      return [create(controlMessage.RelayedTargetsSchema, { control, whole, targets: changedTargets })];
     });
   }
 
-  /** Instances that are heard now, host:port. */
+  /** Instances whose streams are open, host:port. */
   connectedControls(): string[] {
-    return [...this.sources].filter(([, { isConnected: isHeard }]) => isHeard).map(([control]) => control);
+    return [...this.sources].filter(([, { isConnected }]) => isConnected).map(([control]) => control);
   }
 
-  /** The newest word of a target, whoever told it. */
+  /** The newest report on a target from any instance. */
   find(id: string): controlMessage.AnnouncedTarget | undefined {
-    const told = [...this.sources.values()].flatMap(({ targets }) => targets.get(id)?.target ?? []);
-    return told.sort((a, b) => Number(b.sequence - a.sequence)).at(0);
+    const reports = [...this.sources.values()].flatMap(({ targets }) => targets.get(id)?.target ?? []);
+    return reports.sort((a, b) => Number(b.sequence - a.sequence)).at(0);
   }
 
-  /** Takes what an instance tells; `whole`: all that it knows. */
+  /** Applies a report of an instance; `whole`: it lists all of its targets. */
   apply(control: string, targets: readonly controlMessage.AnnouncedTarget[], whole: boolean): void {
     const source = this.sourceOf(control);
-    const isNews = whole || targets.length > 0 || !source.isConnected;
-    if (!isNews) return;
+    const isChange = whole || targets.length > 0 || !source.isConnected;
+    if (!isChange) return;
     this.changeNumber += 1;
     source.isConnected = true;
     if (whole) {
       source.targets.clear();
       source.snapshotChangeNumber = this.changeNumber;
     }
-    const at = this.clock.monotonic();
+    const receivedAt = this.clock.monotonic();
     for (const target of targets)
-      source.targets.set(target.id, { target, changeNumber: this.changeNumber, receivedAt: at });
+      source.targets.set(target.id, { target, changeNumber: this.changeNumber, receivedAt });
     this.removeExpired(source);
     this.notify();
   }
 
-  /** An instance is heard no more. What it told stays until it is back: followers know how old that is. */
+  /** Marks an instance as disconnected. Its targets stay until it is back: followers know how old they are. */
   lost(control: string): void {
     const source = this.sources.get(control);
     if (source?.isConnected !== true) return;
@@ -87,7 +87,7 @@
     this.notify();
   }
 
-  /** Calls back after each change. Returns the way to stop. */
+  /** Calls back after each change. @returns a function that unsubscribes. */
   onChange(listener: () => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
@@ -96,17 +96,17 @@
   private sourceOf(control: string): ControlSource {
     const known = this.sources.get(control);
     if (known !== undefined) return known;
-    const made: ControlSource = { targets: new Map(), snapshotChangeNumber: 0, isConnected: false };
-    this.sources.set(control, made);
-    return made;
+    const created: ControlSource = { targets: new Map(), snapshotChangeNumber: 0, isConnected: false };
+    this.sources.set(control, created);
+    return created;
   }
 
   private removeExpired({ targets }: ControlSource): void {
     const before = this.clock.monotonic() - REMOVAL_DELAY_MS;
-    for (const [id, { target, receivedAt: at }] of targets) {
-      const speaks =
+    for (const [id, { target, receivedAt }] of targets) {
+      const isActive =
         target.announcement === Announcement.READY || target.announcement === Announcement.DRAINING;
-      if (!speaks && at < before) targets.delete(id);
+      if (!isActive && receivedAt < before) targets.delete(id);
     }
   }
 
--- a/packages/control/src/targets/targetBook.spec.ts
+++ b/packages/control/src/targets/targetBook.spec.ts
@@ -21,143 +21,138 @@
   ...change,
 });
 
-describe('the book of targets', () => {
+describe('the target registry', () => {
   let clock: ManualClock;
-  let book: TargetBook;
+  let registry: TargetBook;
 
   beforeEach(() => {
     clock = new ManualClock();
-    book = new TargetBook(clock, silentLog, HEARTBEAT_MS);
+    registry = new TargetBook(clock, silentLog, HEARTBEAT_MS);
   });
 
   const state = (id = 't1'): controlMessage.Announcement | undefined =>
-    book.since(0).find((target) => target.id === id)?.announcement;
+    registry.since(0).find((target) => target.id === id)?.announcement;
 
   const observe = (observation: number, paused: boolean, version = 1): boolean =>
-    book.observe({
+    registry.observe({
       targetId: 't1',
       observation: BigInt(observation),
       paused,
       weights: [{ model: 'm', version: BigInt(version), ageMs: 0 }],
     } as controlMessage.ObserveRequest);
 
-  it('tells followers of changes only', () => {
-    book.beat(heartbeat(1));
-    const place = book.lastChangeNumber();
-    book.beat(heartbeat(2));
-    expect(book.since(place)).toEqual([]);
-    book.beat(heartbeat(3, { draining: true }));
-    expect(book.since(place).map(({ announcement }) => announcement)).toEqual([Announcement.DRAINING]);
+  it('sends followers only changes', () => {
+    registry.beat(heartbeat(1));
+    const position = registry.lastChangeNumber();
+    registry.beat(heartbeat(2));
+    expect(registry.since(position)).toEqual([]);
+    registry.beat(heartbeat(3, { draining: true }));
+    expect(registry.since(position).map(({ announcement }) => announcement)).toEqual([Announcement.DRAINING]);
   });
 
-  it('takes no heartbeat that was overtaken', () => {
-    // Symptom: a target that drains gets new work again.
-    // Sequence: its older heartbeat is held up on the way and arrives after the newer one.
-    // Cause: the last heartbeat to arrive was believed.
-    book.beat(heartbeat(5, { draining: true }));
-    book.beat(heartbeat(4));
+  it('ignores a heartbeat that arrives after a newer one', () => {
+    // Guards against new work for a draining target: an older heartbeat is delayed and arrives after the newer one.
+    registry.beat(heartbeat(5, { draining: true }));
+    registry.beat(heartbeat(4));
     expect(state()).toBe(Announcement.DRAINING);
   });
 
-  it('keeps a leave, also of a target that it did not know', () => {
-    book.leave({ name: 't1' });
-    book.beat(heartbeat(9));
+  it('keeps a leave, also of an unknown target', () => {
+    registry.leave({ name: 't1' });
+    registry.beat(heartbeat(9));
     expect(state()).toBe(Announcement.LEFT);
   });
 
-  it('hears a target that starts again under its id, and ends the start before', () => {
-    // Symptom: a target gets no work for minutes after a crash.
-    // Sequence: it crashes and starts again under its id; it counts its heartbeats from 1 again.
-    // Cause: all heartbeats up to the count of before were taken for late ones, and one that had left never came back.
-    book.beat(heartbeat(40, { born: 1_000 }));
-    book.beat(heartbeat(1, { born: 2_000 }));
+  it('accepts a target that restarts under its id, and ends the previous start', () => {
+    // Guards against a target that gets no work for minutes after a crash: it restarts under its id with heartbeat 1, and its
+    // heartbeats count as late ones of the previous start, or as those of a target that left.
+    registry.beat(heartbeat(40, { born: 1_000 }));
+    registry.beat(heartbeat(1, { born: 2_000 }));
     expect(state('t1/1000')).toBe(Announcement.LEFT);
     expect(state('t1/2000')).toBe(Announcement.READY);
-    book.leave({ name: 't1', born: 2_000 });
-    book.beat(heartbeat(1, { born: 3_000 }));
+    registry.leave({ name: 't1', born: 2_000 });
+    registry.beat(heartbeat(1, { born: 3_000 }));
     expect(state('t1/2000')).toBe(Announcement.LEFT);
     expect(state('t1/3000')).toBe(Announcement.READY);
   });
 
-  it('takes no late word of an older start', async () => {
-    // Symptom: a target that has just started gets no work, or a dead one does.
-    // Sequence: a heartbeat, or the leave, of the start before is held up on the way, and comes after the new start's.
-    // Cause: it was believed of the target, whichever start had sent it.
-    book.beat(heartbeat(40, { born: 1_000 }));
-    book.beat(heartbeat(1, { born: 2_000 }));
-    const place = book.lastChangeNumber();
-    book.beat(heartbeat(41, { born: 1_000 }));
-    book.beat(heartbeat(42));
-    book.leave({ name: 't1', born: 1_000 });
-    book.leave({ name: 't1' });
-    expect(book.since(place)).toEqual([]);
+  it('ignores late calls of an older start', async () => {
+    // Guards against no work for a target that has just started, or work for a dead one: a delayed heartbeat or leave of the
+    // previous start arrives after those of the new start.
+    registry.beat(heartbeat(40, { born: 1_000 }));
+    registry.beat(heartbeat(1, { born: 2_000 }));
+    const position = registry.lastChangeNumber();
+    registry.beat(heartbeat(41, { born: 1_000 }));
+    registry.beat(heartbeat(42));
+    registry.leave({ name: 't1', born: 1_000 });
+    registry.leave({ name: 't1' });
+    expect(registry.since(position)).toEqual([]);
     expect(state('t1/2000')).toBe(Announcement.READY);
     await clock.advance(5_000);
-    book.beat(heartbeat(5, { born: 2_000 }));
-    book.leave({ name: 't1' });
+    registry.beat(heartbeat(5, { born: 2_000 }));
+    registry.leave({ name: 't1' });
     expect(state('t1/2000')).toBe(Announcement.LEFT);
   });
 
-  it('takes a leave that tells no start as of the one that is known, however new', () => {
-    book.beat(heartbeat(1, { born: 1_000 }));
-    book.leave({ name: 't1' });
+  it('attributes a leave without a start to the only known start, however new', () => {
+    registry.beat(heartbeat(1, { born: 1_000 }));
+    registry.leave({ name: 't1' });
     expect(state('t1/1000')).toBe(Announcement.LEFT);
   });
 
-  it('takes a target from the process beside it, as older than all of its own calls', () => {
+  it('treats an announcement by the process beside a target as older than all calls of the target', () => {
     const announced = create(controlMessage.AnnouncedTargetSchema, {
       name: 't1',
       service: 's',
       address: '10.0.0.1:80',
       capacity: 4,
     });
-    book.announce(announced);
+    registry.announce(announced);
     expect(state()).toBe(Announcement.READY);
-    book.beat(heartbeat(1, { draining: true }));
-    book.announce(announced);
+    registry.beat(heartbeat(1, { draining: true }));
+    registry.announce(announced);
     expect(state()).toBe(Announcement.DRAINING);
-    book.leave({ name: 't1' });
-    book.announce(announced);
+    registry.leave({ name: 't1' });
+    registry.announce(announced);
     expect(state()).toBe(Announcement.LEFT);
   });
 
-  it('finds a target silent that says nothing for three heartbeats, and hears it again', async () => {
-    book.beat(heartbeat(1));
+  it('marks a target without heartbeats for three intervals as silent, until its next heartbeat', async () => {
+    registry.beat(heartbeat(1));
     await clock.advance(3 * HEARTBEAT_MS);
-    book.checkExpiry();
+    registry.checkExpiry();
     expect(state()).toBe(Announcement.READY);
     await clock.advance(1);
-    book.checkExpiry();
+    registry.checkExpiry();
     expect(state()).toBe(Announcement.SILENT);
-    book.beat(heartbeat(2));
+    registry.beat(heartbeat(2));
     expect(state()).toBe(Announcement.READY);
   });
 
-  it('keeps the newer weights when a heartbeat was made before they were loaded', () => {
-    book.beat(heartbeat(1));
+  it('keeps the newer weights when a heartbeat predates their load', () => {
+    registry.beat(heartbeat(1));
     observe(4, false, 2);
-    book.beat(heartbeat(2));
-    expect(book.since(0)[0]?.weights.map(({ version }) => version)).toEqual([2n]);
+    registry.beat(heartbeat(2));
+    expect(registry.since(0)[0]?.weights.map(({ version }) => version)).toEqual([2n]);
   });
 
-  it('ends a pause that nobody renews', async () => {
-    // Symptom: a target gets no work for good.
-    // Sequence: the process beside it pauses it, and is killed before it ends the pause.
-    // Cause: a pause without an end of its own.
-    book.beat(heartbeat(1));
+  it('ends a pause that is not renewed', async () => {
+    // Guards against a target that never gets work again: the process beside it pauses it, and is killed before it ends the
+    // pause.
+    registry.beat(heartbeat(1));
     observe(4, true);
-    expect(book.since(0)[0]?.paused).toBe(true);
+    expect(registry.since(0)[0]?.paused).toBe(true);
     await clock.advance(6_001);
-    book.beat(heartbeat(2));
-    book.checkExpiry();
-    expect(book.since(0)[0]?.paused).toBe(false);
+    registry.beat(heartbeat(2));
+    registry.checkExpiry();
+    expect(registry.since(0)[0]?.paused).toBe(false);
   });
 
-  it('takes no observation that was overtaken, and none of a target it does not know', () => {
+  it('ignores an observation that arrives after a newer one, and one of an unknown target', () => {
     expect(observe(1, true)).toBe(false);
-    book.beat(heartbeat(1));
+    registry.beat(heartbeat(1));
     observe(6, false);
     observe(5, true);
-    expect(book.since(0)[0]?.paused).toBe(false);
+    expect(registry.since(0)[0]?.paused).toBe(false);
   });
 });
--- a/packages/control/src/targets/targetBook.ts
+++ b/packages/control/src/targets/targetBook.ts
@@ -5,38 +5,38 @@
 import type { TargetStart, Unread } from '@jasmineroute/protocol';
 import { controlEvents } from '../events.js';
 
-/** Heartbeats that may be missed before a target counts as silent: one lost and one late. */
+/** Heartbeat intervals after which a target counts as silent: one heartbeat may be lost and one late. */
 const MISSED_HEARTBEATS = 3;
 
-/** Time after which a target that left or fell silent is forgotten, milliseconds: longer than a call may be late. */
+/** Time after which a target that left or is silent is removed, milliseconds: longer than a call may be late. */
 const REMOVAL_DELAY_MS = 120_000;
 
-/** A pause that was not renewed for so long is over, milliseconds: whoever asked for it is gone. */
+/** Time after which a pause ends unless renewed, milliseconds: the process that requested it is gone. */
 const PAUSE_LIFETIME_MS = 6_000;
 
 /**
- * A leave that does not tell its start is taken for one of the start before while the newest was first heard of less than
- * so long ago, milliseconds: calls arrive seconds late, and no target is stopped as planned as soon as it has started.
+ * Time after the first report on a start of a target during which a leave call without a start is attributed to the previous
+ * start, milliseconds: calls arrive seconds late, and no target is stopped as planned right after its start.
  */
 const LATE_LEAVE_WINDOW_MS = 5_000;
 
-/** How often silence is looked for, milliseconds. */
+/** Interval between two checks for expired heartbeats and pauses, milliseconds. */
 const EXPIRY_CHECK_MS = 300;
 
 const { Announcement, AnnouncedTargetSchema } = controlMessage;
 
-/** What a target says of itself in a heartbeat. */
+/** The content of a heartbeat of a target. */
 export interface Heartbeat extends TargetStart {
   readonly service: string;
   readonly address: string;
   readonly dataCentre: string;
   readonly capacity: number;
   readonly draining: boolean;
-  /** Grows with each heartbeat of one start of the target. */
+  /** Grows with each heartbeat of the same start of the target. */
   readonly sequence: number;
   readonly coldMs: number;
   readonly weights: readonly { readonly model: string; readonly version: number }[];
-  /** Models of its list that could not be read; absent: none. */
+  /** Models in its list that could not be read; absent: none. */
   readonly unread?: Unread;
 }
 
@@ -44,13 +44,13 @@
   readonly target: controlMessage.AnnouncedTarget;
   readonly lastHeartbeatAt: number;
   readonly firstHeartbeatAt: number;
-  /** When the last observation came; absent: none. */
+  /** Time of the last observation; absent: none. */
   readonly observedAt?: number;
-  /** Place of the last change that followers must hear of. */
+  /** Number of the last change that is sent to followers. */
   readonly changeNumber: number;
 }
 
-/** A target's state, without what changes with each heartbeat. */
+/** A target's state without the fields that change with each heartbeat, for comparison. */
 function comparableState(target: controlMessage.AnnouncedTarget): string {
   const { service, address, announcement, capacity, weights, paused } = target;
   const versions = weights.map(({ model, version }) => `${model}@${version}`);
@@ -58,8 +58,8 @@
 }
 
 /**
- * What this instance heard of targets. Each control instance keeps a book of its own and followers read all of
- * them, so a heartbeat need not go to a certain instance, and none waits for a quorum.
+ * Targets that were reported to this instance. Each control instance keeps its own list and followers merge all of them, so a
+ * heartbeat may go to any instance, and none waits for a quorum.
  */
 export class TargetBook {
   private readonly entries = new Map<string, TargetRecord>();
@@ -74,27 +74,27 @@
     private readonly heartbeatMs: number,
   ) {}
 
-  /** Place of the newest change. */
+  /** Number of the newest change. */
   lastChangeNumber(): number {
     return this.changeNumber;
   }
 
-  /** Targets that changed after a place; 0 gives all. */
-  since(place: number): controlMessage.AnnouncedTarget[] {
+  /** Targets that changed after a change number; 0 gives all. */
+  since(changeNumber: number): controlMessage.AnnouncedTarget[] {
     return [...this.entries.values()]
-      .filter((entry) => entry.changeNumber > place)
+      .filter((entry) => entry.changeNumber > changeNumber)
       .map(({ target }) => target);
   }
 
-  /** Calls back after each change. Returns the way to stop. */
+  /** Calls back after each change. @returns a function that unsubscribes. */
   onChange(listener: () => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
   /**
-   * Takes a heartbeat. One that was overtaken by a newer one, by the target's leave or by a newer start of the target
-   * changes nothing.
+   * Applies a heartbeat. One that arrives after a newer heartbeat, the target's leave or a newer start of the target changes
+   * nothing.
    */
   beat(heartbeat: Heartbeat): void {
     if (this.isOld(heartbeat)) return;
@@ -105,49 +105,49 @@
   }
 
   /**
-   * Takes a target from the process beside it, as a heartbeat before all of the target's own: it brings nothing back, and
-   * any call of the target's is newer.
+   * Applies an announcement by the process beside a target. It counts as a heartbeat before all of the target's own, so it
+   * never reverts a call of the target.
    */
   announce(announced: controlMessage.AnnouncedTarget): void {
     const { service, address, dataCentre, capacity, weights } = announced;
     const versions = weights.map(({ model, version }) => ({ model, version: Number(version) }));
-    const told = { service, address, dataCentre, capacity, weights: versions };
-    this.beat({ ...startOf(announced), ...told, draining: false, sequence: 0, coldMs: 0 });
+    const fields = { service, address, dataCentre, capacity, weights: versions };
+    this.beat({ ...startOf(announced), ...fields, draining: false, sequence: 0, coldMs: 0 });
   }
 
-  /** Takes a target that only another instance hears, so that what is observed of it can be told here too. */
+  /** Adds a target that is known only from another instance, so that observations of it can be stored here. */
   adopt(target: controlMessage.AnnouncedTarget): void {
     if (this.entries.has(target.id) || this.isOld(startOf(target))) return;
     this.put({ ...target, announcement: Announcement.SILENT });
   }
 
-  /** Takes what the process beside a target says of it. @returns whether the target is known here. */
+  /** Applies an observation by the process beside a target. @returns whether the target is known here. */
   observe({ targetId, observation, paused, weights }: controlMessage.ObserveRequest): boolean {
     const known = this.entries.get(targetId);
     if (known === undefined) return false;
-    const { target, lastHeartbeatAt: heardAt } = known;
+    const { target, lastHeartbeatAt } = known;
     if (observation < target.observation) return true;
     const newest = newerWeights(target.weights, weights);
-    this.put({ ...target, paused, observation, weights: newest }, heardAt, this.clock.monotonic());
+    this.put({ ...target, paused, observation, weights: newest }, lastHeartbeatAt, this.clock.monotonic());
     return true;
   }
 
   /**
-   * Takes a target's leave, also of one that this instance has not heard of. One that tells no start is of the newest
-   * start, unless that is so new that it must be a late call of the one before.
+   * Applies a target's leave call, also for an unknown target. A call without a start means the newest start, unless that is so
+   * new that the call must be a late one of the previous start.
    */
-  leave(told: TargetStart): void {
-    const start = told.born === undefined ? (this.newestStarts.of(told.name) ?? told) : told;
+  leave(left: TargetStart): void {
+    const start = left.born === undefined ? (this.newestStarts.of(left.name) ?? left) : left;
     if (this.isOld(start)) return;
     const id = startId(start);
     const known = this.entries.get(id);
-    if (told.born !== start.born && known !== undefined && this.isLateLeave(known)) return;
+    if (left.born !== start.born && known !== undefined && this.isLateLeave(known)) return;
     if (known?.target.announcement === Announcement.LEFT) return;
     const base = known?.target ?? emptyTarget(start);
     this.put({ ...base, announcement: Announcement.LEFT });
   }
 
-  /** Looks for silent targets until `stop`. */
+  /** Checks for expired heartbeats and pauses until `stop`. */
   async run(): Promise<void> {
     const { signal } = this.ended;
     while (!signal.aborted) {
@@ -160,24 +160,24 @@
     this.ended.abort();
   }
 
-  /** Marks targets that were not heard for too long, and forgets those that are gone for good. */
+  /** Marks silent targets, ends expired pauses, and removes targets that are long gone. */
   checkExpiry(): void {
     const now = this.clock.monotonic();
-    for (const { target, lastHeartbeatAt: heardAt, observedAt = now } of [...this.entries.values()]) {
-      const silentMs = now - heardAt;
+    for (const { target, lastHeartbeatAt, observedAt = now } of [...this.entries.values()]) {
+      const silentMs = now - lastHeartbeatAt;
       if (target.paused && now - observedAt > PAUSE_LIFETIME_MS) {
-        this.put({ ...target, paused: false }, heardAt);
+        this.put({ ...target, paused: false }, lastHeartbeatAt);
         continue;
       }
       if (silentMs > REMOVAL_DELAY_MS) this.remove(target);
       else if (this.isSilent(target, silentMs))
-        this.put({ ...target, announcement: Announcement.SILENT }, heardAt);
+        this.put({ ...target, announcement: Announcement.SILENT }, lastHeartbeatAt);
     }
   }
 
   private isSilent({ announcement }: controlMessage.AnnouncedTarget, silentMs: number): boolean {
-    const speaks = announcement === Announcement.READY || announcement === Announcement.DRAINING;
-    return speaks && silentMs > MISSED_HEARTBEATS * this.heartbeatMs;
+    const isActive = announcement === Announcement.READY || announcement === Announcement.DRAINING;
+    return isActive && silentMs > MISSED_HEARTBEATS * this.heartbeatMs;
   }
 
   private remove(target: controlMessage.AnnouncedTarget): void {
@@ -185,47 +185,47 @@
     this.newestStarts.forget(startOf(target));
   }
 
-  /** Whether a newer start was heard of. The start that this one follows is over: nobody must use it. */
+  /** Whether a newer start is known. A new start ends the previous one, which then counts as left. */
   private isOld(start: TargetStart): boolean {
     const { isOld, ended } = this.newestStarts.hear(start);
-    const before = ended === undefined ? undefined : this.entries.get(startId(ended))?.target;
-    if (before !== undefined && before.announcement !== Announcement.LEFT) {
-      this.put({ ...before, announcement: Announcement.LEFT });
+    const previous = ended === undefined ? undefined : this.entries.get(startId(ended))?.target;
+    if (previous !== undefined && previous.announcement !== Announcement.LEFT) {
+      this.put({ ...previous, announcement: Announcement.LEFT });
     }
     return isOld;
   }
 
-  /** Whether a leave without a start is too early for the newest one, and another start was known before it. */
-  private isLateLeave({ target, firstHeartbeatAt: firstHeardAt }: TargetRecord): boolean {
+  /** Whether a leave without a start comes too early for the newest start, and an older start is known. */
+  private isLateLeave({ target, firstHeartbeatAt }: TargetRecord): boolean {
     const hasOlder = [...this.entries.values()].some(
       (other) => other.target.name === target.name && other.target.id !== target.id,
     );
-    return hasOlder && this.clock.monotonic() - firstHeardAt < LATE_LEAVE_WINDOW_MS;
+    return hasOlder && this.clock.monotonic() - firstHeartbeatAt < LATE_LEAVE_WINDOW_MS;
   }
 
-  /** A start of a target that left never comes back. */
+  /** Whether a heartbeat is out of date. A start that left never returns. */
   private isStale(known: controlMessage.AnnouncedTarget, sequence: number): boolean {
     return known.announcement === Announcement.LEFT || known.sequence >= BigInt(sequence);
   }
 
   private put(
     target: controlMessage.AnnouncedTarget,
-    heardAt = this.clock.monotonic(),
+    lastHeartbeatAt = this.clock.monotonic(),
     observedAt = this.entries.get(target.id)?.observedAt,
   ): void {
     const known = this.entries.get(target.id);
-    const isNews = known === undefined || comparableState(known.target) !== comparableState(target);
-    if (isNews) this.changeNumber += 1;
-    const place = isNews ? this.changeNumber : known.changeNumber;
-    const firstHeardAt = known?.firstHeartbeatAt ?? heardAt;
+    const isChanged = known === undefined || comparableState(known.target) !== comparableState(target);
+    if (isChanged) this.changeNumber += 1;
+    const changeNumber = isChanged ? this.changeNumber : known.changeNumber;
+    const firstHeartbeatAt = known?.firstHeartbeatAt ?? lastHeartbeatAt;
     this.entries.set(target.id, {
       target,
-      lastHeartbeatAt: heardAt,
-      firstHeartbeatAt: firstHeardAt,
+      lastHeartbeatAt,
+      firstHeartbeatAt,
       observedAt,
-      changeNumber: place,
+      changeNumber,
     });
-    if (!isNews) return;
+    if (!isChanged) return;
     this.log.event(controlEvents.targetAnnounced, {
       target: target.id,
       service: target.service,
@@ -240,7 +240,7 @@
   }
 }
 
-/** The newer version of each model: versions of weights only grow, and a heartbeat may be older than an observation. */
+/** The newer version for each model: weight versions only grow, and a heartbeat may be older than an observation. */
 function newerWeights(
   some: readonly controlMessage.NamedWeights[],
   others: readonly controlMessage.NamedWeights[],
@@ -253,7 +253,7 @@
   return [...newest.values()];
 }
 
-/** A target of which nothing is known but its start. */
+/** A target of which only the start is known. */
 function emptyTarget(start: TargetStart): controlMessage.AnnouncedTarget {
   return create(AnnouncedTargetSchema, { id: startId(start), ...startFields(start) });
 }
@@ -263,7 +263,7 @@
   known?: controlMessage.AnnouncedTarget,
 ): controlMessage.AnnouncedTarget {
   const { service, address, dataCentre, capacity, draining, sequence, coldMs, weights } = heartbeat;
-  const told = weights.map(({ model, version }) =>
+  const versions = weights.map(({ model, version }) =>
     create(controlMessage.NamedWeightsSchema, { model, version: BigInt(version) }),
   );
   return create(AnnouncedTargetSchema, {
@@ -276,7 +276,7 @@
     ...startFields(heartbeat),
     announcement: draining ? Announcement.DRAINING : Announcement.READY,
     sequence: BigInt(sequence),
-    weights: newerWeights(known?.weights ?? [], told),
+    weights: newerWeights(known?.weights ?? [], versions),
     paused: known?.paused,
     observation: known?.observation,
   });
