--- a/packages/control/src/role/cancelledWish.spec.ts
+++ b/packages/control/src/role/cancelledWish.spec.ts
@@ -3,7 +3,7 @@
 import { Cluster, until } from '../fixture/index.js';
 import type { Node } from '../fixture/index.js';
 
-/** Time in which an operator who asks again gets an answer, milliseconds. */
+/** Time within which a repeated read succeeds, milliseconds. */
 const READ_WITHIN_MS = 4_000;
 
 describe('control instances whose callers cancel', () => {
@@ -20,13 +20,13 @@
     await cluster.stop();
   });
 
-  /** Cancels a wish to vote while its connection is made. */
-  async function cancelWish(node: Node): Promise<void> {
+  /** Cancels a voter request while its connection is opened. */
+  async function cancelRequest(node: Node): Promise<void> {
     callers.drop(node.address);
     const caller = new AbortController();
     const { enlist } = controlMessage.Configurations.method;
-    const wish = { name: 'c9', address: '127.0.0.1:9' };
-    const call = callers.transport(node.address).unary(enlist, caller.signal, undefined, undefined, wish);
+    const request = { name: 'c9', address: '127.0.0.1:9' };
+    const call = callers.transport(node.address).unary(enlist, caller.signal, undefined, undefined, request);
     caller.abort();
     await call.catch(() => undefined);
   }
@@ -36,24 +36,25 @@
     return (await Promise.all(reads)).some((read) => read.isOk());
   };
 
-  // A cancelled wish to vote is taken as one of an instance without a name, and the leader's replica stops for good.
-  it('still read the configuration back after cancelled wishes to vote', async () => {
+  // Guards against a cancelled voter request that is handled as one without a name and stops the replica of the leader for good.
+  it('still read the configuration back after cancelled voter requests', async () => {
     for (let round = 0; round < 3; round += 1) {
       await until(() => cluster.nodes.some(({ control }) => control.readiness().ready));
-      await Promise.all(cluster.nodes.map(cancelWish));
+      await Promise.all(cluster.nodes.map(cancelRequest));
       await until(isRead, READ_WITHIN_MS);
     }
     expect(cluster.nodes.every(({ control }) => control.readiness().ready)).toBe(true);
   });
 
-  // A wish to vote that names nobody, or an address that can't be called, stops the leader's replica for good.
+  // Guards against a voter request without a name, or with an address that can't be called, that stops the replica of the leader
+  // for good.
   it.each([
     { name: '', address: '127.0.0.1:9' },
     { name: 'c9', address: '' },
     { name: 'c9', address: 'nowhere' },
-  ])('still read the configuration back after a wish to vote of %j', async (wish) => {
+  ])('still read the configuration back after the voter request %j', async (request) => {
     for (const node of cluster.nodes) {
-      const call = cluster.clientOf(controlMessage.Configurations, node).enlist(wish);
+      const call = cluster.clientOf(controlMessage.Configurations, node).enlist(request);
       expect(faultOf(await call.catch((error: unknown) => error)).kind).toBe('invalid-request');
     }
     await until(isRead, READ_WITHIN_MS);
--- a/packages/control/src/role/control.spec.ts
+++ b/packages/control/src/role/control.spec.ts
@@ -60,7 +60,7 @@
     const directory = createClient(controlMessage.Directory, transport);
     for await (const event of directory.watch({ name: 'w1' })) {
       expect(event).toMatchObject({ revision: 1n, vouched: true, documents: [{ version: 1n }] });
-      // The feed may write the same document in another way than the operator did.
+      // The stream may format the same document differently from the operator.
       const shown = parseDocument(event.documents[0]?.text ?? '');
       expect(shown._unsafeUnwrap()).toEqual(parseDocument(text)._unsafeUnwrap());
       break;
@@ -74,7 +74,7 @@
     return (await documents().apply(request)).outcome;
   };
 
-  it('tells every fault of a document at once, with path and line', async () => {
+  it('reports all errors of a document at once, with path and line', async () => {
     const text = modelText().replace('version: v1', 'version: 7').replace('team: lm-pool', 'team: NO');
     const outcome = await apply({ text });
     expect(outcome).toMatchObject({
@@ -90,14 +90,14 @@
     expect(log.entries).toHaveLength(0);
   });
 
-  it('refuses a document for another service than it says', async () => {
+  it('refuses a document that names another service than the request', async () => {
     expect(await apply({ service: 'other' })).toMatchObject({
       case: 'rejected',
       value: { problems: [{ path: 'service', line: 1 }] },
     });
   });
 
-  it('refuses a model that another service has', async () => {
+  it('refuses a model that another service offers', async () => {
     await apply({});
     const text = modelText({ service: 'pool-b', models: ['lm-pool-model'], keys: ['bob-key'] });
     const outcome = await apply({ service: 'pool-b', text, applyId: 'b-1', key: 'bob-key' });
@@ -107,10 +107,9 @@
     });
   });
 
-  it('accepts one of two services that bring the same model at once', async () => {
-    // Symptom: two services offer the same model.
-    // Sequence: two teams apply at the same moment, each checked before the other is accepted.
-    // Cause: the check and the acceptance were not one step, and nobody noticed that time had passed.
+  it('accepts one of several services that add the same model at once', async () => {
+    // Guards against two services with the same model: teams apply at the same time, and each document passes its check before
+    // the other is accepted.
     const outcomes = await Promise.all(
       ['pool-a', 'pool-b', 'pool-c'].map((service) => {
         const key = `${service}-key`;
@@ -121,20 +120,18 @@
     expect(outcomes.map((outcome) => outcome.case).sort()).toEqual(['accepted', 'rejected', 'rejected']);
   });
 
-  it('gives the first answer to a resend after a lost answer', async () => {
-    // Symptom: an operator is told of a conflict with the own change.
-    // Sequence: accepted, the answer is lost between log and service; the tool sends the same again.
-    // Cause: the resend was a new change to the service.
+  it('answers a resend after a lost answer with the first answer', async () => {
+    // Guards against a conflict of an operator with their own change: it is accepted, the answer is lost between log and service,
+    // and the resend of the tool counts as a new change.
     log.lostAnswers = 1;
     await expect(apply({})).rejects.toThrow('no answer');
     expect(await apply({})).toMatchObject({ case: 'accepted', value: { version: 1n } });
     expect(state.documents.revision()).toBe(1n);
   });
 
-  it('gives the first answer to a resend that would clash by now', async () => {
-    // Symptom: an operator is told that an accepted change is refused.
-    // Sequence: accepted, the answer is lost; the model then moves to another service; the resend comes.
-    // Cause: the resend was checked against documents that came after its acceptance.
+  it('answers a resend that would conflict by now with the first answer', async () => {
+    // Guards against an accepted change that is reported as refused: the answer is lost, the model moves to another service, and
+    // the resend is checked against documents that were accepted later.
     const first = await apply({});
     const moved = modelText({ models: ['renamed'] });
     await apply({ text: moved, applyId: 'a-2', baseVersion: 1n });
@@ -149,7 +146,7 @@
     expect(stored.includes('alice-key')).toBe(false);
   });
 
-  it('says of a change without a quorum that it did not run, and of what it reads that it may be old', async () => {
+  it('reports a change without a quorum as not run, and reads as possibly stale', async () => {
     await apply({});
     log.isolate(true);
     const problem = await apply({ applyId: 'a-2', baseVersion: 1n }).catch((error: unknown) =>
@@ -188,10 +185,9 @@
     ]);
   });
 
-  it('goes out of service at an entry of a newer release', async () => {
-    // Symptom: an instance of an older release shows documents that the others have left behind.
-    // Sequence: in a rolling upgrade, a newer instance writes a command that this one doesn't know.
-    // Cause: it skipped the command and went on serving.
+  it('stops serving at a log entry of a newer release', async () => {
+    // Guards against an instance of an older release that serves outdated documents: in a rolling upgrade a newer instance writes
+    // a command that this one doesn't know, and skipping it makes the states differ.
     const directory = createClient(controlMessage.Directory, peers.transport(server.address));
     let events = 0;
     for await (const event of directory.watch({ name: 'w1' })) {
--- a/packages/control/src/role/control.ts
+++ b/packages/control/src/role/control.ts
@@ -1,4 +1,4 @@
-/** The control role: documents, claims and turns over the replicated log, and the directory's feed. */
+/** The control role: documents, claims and turns on the replicated log, the streams to followers, and the directory. */
 import type { ConnectRouter } from '@connectrpc/connect';
 import { create } from '@bufbuild/protobuf';
 import { ProblemTally, runLasting } from '@jasmineroute/core';
@@ -30,15 +30,15 @@
 import type { StateParts } from './createState.js';
 
 /**
- * Bounds of the proposer. Two batches under way: a command that comes while one is under way need not wait for
- * its end, and with more the batches of a busy instance get so small that their messages cost more than they carry.
+ * Limits of the proposer. With two batches in flight a command need not wait for the batch before it to commit; with more, the
+ * batches of a busy instance get so small that the overhead per message outweighs the content.
  */
 const PROPOSER_LIMITS = { inFlight: 2, batch: 512, batchBytes: 1024 * 1024, waitingBytes: 64 * 1024 * 1024 };
 
-/** What a control instance calls outside the system. */
+/** External systems that a control instance calls. */
 export interface OutsidePorts {
   readonly stores?: StorePort;
-  /** Orders to targets that have no process beside them. */
+  /** Orders to targets without a process beside them. */
   readonly orders?: RemoteOrders;
 }
 
@@ -50,9 +50,9 @@
   private readonly documentSource: ControlDocumentSource;
   private readonly logTimeAdvancer: LogTimeAdvancer;
   private readonly replicaReconciler: ReplicaReconciler;
-  /** Numbered configurations, for operators' interfaces in this process. */
+  /** Numbered configurations, for operator APIs in this process. */
   readonly configurations: ConfigurationService;
-  /** Announced targets, for interfaces in this process that targets call. */
+  /** Announced targets, for APIs in this process that targets call. */
   readonly targets: TargetBook;
   private readonly loads: RecentReports<controlMessage.TargetLoad>;
   private readonly work: RecentReports<controlMessage.EntryWork>;
@@ -66,7 +66,7 @@
   private readonly unreadableCalls: ProblemTally;
   private readonly ended = new AbortController();
   private draining = false;
-  /** Control instances known from the settings, host:port. */
+  /** Control instances from the settings, host:port. */
   private seeds: readonly string[];
 
   constructor(
@@ -103,7 +103,7 @@
     this.unreadableCalls = new ProblemTally(log, controlEvents.unreadableCall);
     this.documentSource.onChange(() => {
       this.recordMetrics();
-      // Not within the step of the log, which others wait for.
+      // Deferred, so that it doesn't delay the log, which is applying an entry.
       setImmediate(() => {
         this.replicaReconciler.reconcile();
       });
@@ -169,12 +169,12 @@
     this.stores?.start();
     if (this.commandLog instanceof DisklessLog) this.startReferral(address);
     if (this.settings.enlists) {
-      runLasting('wish to vote', this.requestVoterRole(address));
+      runLasting('voter requests', this.requestVoterRole(address));
       this.followOtherControls(address);
       if (this.outside.orders !== undefined) this.startWeightUpdater(this.outside.orders);
     }
-    runLasting('time of the log', this.logTimeAdvancer.run());
-    runLasting('replicas of the document', this.replicaReconciler.run());
+    runLasting('log time', this.logTimeAdvancer.run());
+    runLasting('replica reconciliation', this.replicaReconciler.run());
     this.context.log.event(controlEvents.started, { address });
   }
 
@@ -186,20 +186,20 @@
   }
 
   /**
-   * Whether a target's call may be acknowledged. One that an isolated instance took would be heard by nobody else, so the
-   * target is to call the next instance.
+   * Whether a target's call may be acknowledged. A call to an isolated instance would not reach the others, so it must fail for
+   * the target to call the next instance.
    */
   acknowledges(): boolean {
     return this.readiness().ready;
   }
 
-  /** A call that says it is of the target `source`, or a part of it, can't be read: that names no target to use. */
+  /** Counts and logs calls, or parts of calls, that can't be read; `source` is the target that the caller claims to be. */
   unreadable(source: string, { problem, count }: Unread): void {
     this.unreadableCalls.note(source, problem, count);
     this.context.metrics.count(controlMetrics.unreadableCalls, count);
   }
 
-  /** Ends the streams of watchers, who move to other instances, and finishes the proposals under way. */
+  /** Ends the streams of watchers, which move to other instances, and finishes the proposals in flight. */
   async drain(): Promise<void> {
     this.draining = true;
     this.context.log.event(controlEvents.draining);
@@ -221,19 +221,19 @@
     await this.commandLog.close();
   }
 
-  /** Replaces the control instances known from the settings. */
+  /** Replaces the control instances from the settings. */
   reseed(controls: readonly string[]): void {
     this.seeds = controls;
     this.follower?.reseed(controls);
     this.referral?.reseed(controls);
   }
 
-  /** Where callers of an instance that holds no log are to go, host:port; undefined: this one answers them itself. */
+  /** Address to redirect callers to, host:port, on an instance without a log; undefined: this one answers them itself. */
   referredTo(): string | undefined {
     return this.referral?.address();
   }
 
-  /** Without a disk it can take nothing: callers would come back again and again, and go to the next one late. */
+  /** Without a disk every call fails; a redirect spares callers the retries before they move to another instance. */
   private startReferral(own: string): void {
     const { name, peers, clock, log } = this.context;
     this.referral = new Referral({ name, controls: this.seeds, own, peers, clock, log });
@@ -261,7 +261,7 @@
     return follow;
   }
 
-  /** Brings weights to targets that no process beside them reports of. */
+  /** Starts updates of weights on targets without a process beside them. */
   private startWeightUpdater(orders: RemoteOrders): void {
     const { name, incarnation, clock, log } = this.context;
     const { follow, proposer, commandLog, loads } = this;
@@ -270,13 +270,13 @@
     this.weights.start();
   }
 
-  /** Hears what all other control instances are told, so that whoever follows this one hears it too. */
+  /** Follows all other control instances, so that followers of this one receive their reports too. */
   private followOtherControls(own: string): void {
     const { name, peers, clock, log } = this.context;
     const parts = { name, role: 'control', listener: this.others, peers, clock, log } as const;
     const wantsBulk = (): boolean => this.follow.hasEntryStreams();
-    const most = Number.POSITIVE_INFINITY;
-    this.follower = new Follower({ ...parts, controls: this.seeds, maxFollowed: most, own, wantsBulk });
+    const maxFollowed = Number.POSITIVE_INFINITY;
+    this.follower = new Follower({ ...parts, controls: this.seeds, maxFollowed, own, wantsBulk });
     this.follower.start();
   }
 
@@ -294,7 +294,7 @@
     return this.members.current().get(leader)?.address ?? '';
   }
 
-  /** This instance as it appears in the list of instances. */
+  /** The entry of this instance in the list of instances. */
   private ownInstance(address: string): InstanceMessage {
     const { name, incarnation, dataCentre } = this.context;
     const { Health, Role, InstanceSchema } = controlMessage;
--- a/packages/control/src/role/controlCluster.spec.ts
+++ b/packages/control/src/role/controlCluster.spec.ts
@@ -40,7 +40,7 @@
     return (await documents.apply(request)).outcome;
   };
 
-  /** As a client does: the next instance after one that fails. */
+  /** Tries the next instance after a failure, as a client does. */
   const applyAnywhere = async (
     change: Parameters<typeof apply>[1],
   ): Promise<controlMessage.ApplyResponse['outcome']> => {
@@ -71,7 +71,7 @@
     return found ?? nodeAt(0);
   };
 
-  // Guards against streams that are given up cutting the messages of the log with them, and so the quorum.
+  // Guards against the loss of the quorum when the drop of a connection for streams also cuts the messages of the log.
   it('stay in contact with a quorum while connections of other calls are dropped again and again', async () => {
     const led = await leader();
     const lost = new Set<string>();
@@ -88,9 +88,8 @@
   });
 
   it('lets racing operators on all instances replace each version exactly once', async () => {
-    // Symptom: an accepted change is missing from the history, or two changes have one version.
-    // Sequence: operators at three instances apply on the newest version they know, all at once.
-    // Cause: versions compared on one instance's own state instead of at the place in the log.
+    // Guards against an accepted change that is missing from the history, and two changes with one version: operators at three
+    // instances apply at once, and versions are compared with the state of one instance instead of at the log position.
     const accepted: { version: bigint; operator: string }[] = [];
     const operate = async (index: number): Promise<void> => {
       const operator = `operator-${index}`;
@@ -116,10 +115,9 @@
     }
   });
 
-  it('keeps what it accepted and first answers when the leader is lost', async () => {
-    // Symptom: an accepted document is gone; or the operator who resends is told of a conflict with itself.
-    // Sequence: accepted, the answer is lost with the leader, the same request goes to another instance.
-    // Cause: accepted before a quorum held it, or the answer kept by the leader alone.
+  it('keeps accepted documents and first answers when the leader is lost', async () => {
+    // Guards against the loss of an accepted document, and a conflict of a resend with its own change: the leader is lost with the
+    // answer, after it accepted before a quorum had the entry, or kept the answer only for itself.
     const first = await leader();
     const change = { applyId: 'a-1', operator: 'alice' };
     const outcome = await apply(first, change);
@@ -135,10 +133,9 @@
     expect(got).toMatchObject({ vouched: true, document: { version: 2n } });
   });
 
-  it('keeps claims over the loss of the leader and over a restart of all', async () => {
-    // Symptom: a request that may not be repeated runs twice.
-    // Sequence: claimed; the leader is lost, then all instances restart; the caller resends.
-    // Cause: the claim was granted before a quorum had it on disk.
+  it('keeps claims after the loss of the leader and after a restart of all', async () => {
+    // Guards against a non-idempotent request that runs twice: its claim is granted before a quorum has it on disk, the leader is
+    // lost, all instances restart, and the caller resends.
     const first = await leader();
     expect((await claim(first, 'one')).state).toBe(State.GRANTED);
     await cluster.kill(first);
@@ -156,10 +153,9 @@
     expect((await claim(nodeAt(2), 'one')).state).toBe(State.GRANTED);
   });
 
-  it('grants each key once though all instances are asked at once and the leader is lost', async () => {
-    // Symptom: two entries run one request.
-    // Sequence: resends of a caller arrive at several entries at once; the leader is lost meanwhile.
-    // Cause: two leaders, or a leader and its log, each granted the key.
+  it('grants each key once when all instances get claims at once and the leader is lost', async () => {
+    // Guards against two entries that run the same request: resends arrive at several entries at once while the leader is lost, and
+    // two leaders, or a leader and its log, each grant the key.
     const granted = new Map<string, Set<string>>();
     const first = await leader();
     const ask = async (node: Node, index: number): Promise<void> => {
@@ -176,10 +172,9 @@
     expect([...granted.values()].map(({ size }) => size)).toEqual([...granted.values()].map(() => 1));
   });
 
-  it('leads those who claim to the leader, and away from it when it is lost', async () => {
-    // Symptom: a claim takes a round trip more than it needs; or claims fail while a quorum is there.
-    // Sequence: claims through an instance that doesn't lead; then the leader is lost.
-    // Cause: the client never learns who leads, or never forgets it.
+  it('directs clients of claims to the leader, and to another instance when it is lost', async () => {
+    // Guards against an extra round trip for each claim, and claims that fail although a quorum exists: the client never learns
+    // the address of the leader, or keeps it after the leader is lost.
     const first = await leader();
     const asked: string[] = [];
     const peers = new Peers();
@@ -212,10 +207,9 @@
     peers.close();
   });
 
-  it('lets a turn last as long as its holder believes, though the granting leader is cut off', async () => {
-    // Symptom: two executors give one target orders.
-    // Sequence: the leader grants a turn and is isolated at once; another holder asks the others.
-    // Cause: the new leader counts the turn's time from a moment before it was granted, or not at all.
+  it('keeps a turn for the time that its holder counts, also when the granting leader is isolated', async () => {
+    // Guards against two executors that send orders to one target: the leader is isolated right after it granted a turn, and the
+    // new leader counts the lease from a moment before the grant, or not at all.
     const ttlMs = 2_500;
     const take = async (node: Node, holder: string): Promise<controlMessage.TakeResponse> => {
       const turns = cluster.clientOf(controlMessage.Turns, node);
@@ -236,10 +230,9 @@
     expect(next?.fence).toBeGreaterThan(turn.fence);
   });
 
-  it('tells watchers when an instance is isolated, and reverts nothing when it is back', async () => {
-    // Symptom: an entry goes on with an old document, and trusts it.
-    // Sequence: a control instance is cut off, a document is accepted by the others, the cut is mended.
-    // Cause: the isolated instance did not notice, or brought its older state along.
+  it('notifies watchers when an instance is isolated, and reverts nothing when it is back', async () => {
+    // Guards against an entry that trusts an old document: a control instance is isolated while the others accept a document, and
+    // doesn't notice it, or brings its older state back afterwards.
     await apply(nodeAt(0), { applyId: 'a-1' });
     const lone = await leader();
     cluster.isolate(lone);
@@ -264,10 +257,9 @@
     expect(got).toMatchObject({ vouched: true, document: { version: 2n } });
   });
 
-  it('replaces an instance by the control document, and then bears a second loss', async () => {
-    // Symptom: after a repair the loss of one more instance stops the system, or loses a document.
-    // Sequence: one instance is lost with its disk, a new one takes its place, another one is lost.
-    // Cause: the new one counted as a voter before it had everything, or not at all.
+  it('replaces an instance by the control document, and then tolerates a second loss', async () => {
+    // Guards against an outage, or the loss of a document, when another instance is lost after a replacement: the new instance
+    // votes before it has the whole log, or never becomes a voter.
     await apply(nodeAt(0), { applyId: 'a-1' });
     const lost = nodeAt(2);
     await cluster.kill(lost);
@@ -290,9 +282,8 @@
   });
 
   it('ends the streams of watchers when it drains', async () => {
-    // Symptom: a planned stop of a control instance never ends, or its watchers notice only by silence.
-    // Sequence: the instance drains while watchers are on it.
-    // Cause: a watch stream ends by itself only when the watcher goes.
+    // Guards against a planned stop that never ends, and watchers that notice it only by a timeout: a watch stream ends by itself
+    // only when the watcher leaves.
     const node = nodeAt(0);
     const directory = cluster.clientOf(controlMessage.Directory, node);
     let events = 0;
--- a/packages/control/src/role/createControl.ts
+++ b/packages/control/src/role/createControl.ts
@@ -1,4 +1,4 @@
-/** Makes a control instance over the replicated log. */
+/** Creates a control instance on the replicated log. */
 import { join } from 'node:path';
 import { ReplicatedLog, fileDisk, withoutLock } from '@jasmineroute/coordination';
 import type { Disk } from '@jasmineroute/coordination';
@@ -18,16 +18,16 @@
 const LOG_FOLDER = 'control';
 
 /**
- * Entries and bytes between two snapshots. A snapshot writes the whole state, claims included, so it is taken
- * more seldom than the log would by itself; a restart reads up to so many entries again.
+ * Entries and bytes between two snapshots. A snapshot writes the whole state, claims included, so it is taken less often than
+ * by the defaults of the log; a restart replays up to so many entries.
  */
 const SNAPSHOT_INTERVAL = { snapshotEntries: 20_000, snapshotBytes: 32 * 1024 * 1024 };
 
 /**
- * Opens the data folder and restores the state. `disk` is the machine's own but for tests and benchmarks; what of
- * `outside` is absent is not watched, and gets no orders.
- * An instance that asks to vote may be without a data folder: it stands by, unready.
- * @returns the role; or 'invalid-request' without a data folder, 'storage-failed' when it can't be used.
+ * Opens the data folder and restores the state. Tests and benchmarks pass another `disk`. Ports that are absent from `outside`
+ * are not used: no stores are watched, no orders are sent.
+ * An instance that requests the voter role may lack a data folder: it then stands by and is never ready.
+ * @returns the control instance; or 'invalid-request' without a data folder, 'storage-failed' when it can't be used.
  */
 export async function createControl(
   context: RoleContext,
--- a/packages/control/src/role/createMembership.ts
+++ b/packages/control/src/role/createMembership.ts
@@ -6,7 +6,7 @@
 import type { CommandLog, ReplicaAddress } from '../log/index.js';
 import { configuredReplicas } from '../replicas/index.js';
 
-/** Members with a failure detector of their own; the other control instances come from the control document. */
+/** Creates the list with a failure detector; the other control instances come from the control document. */
 export function createMembership(
   context: RoleContext,
   commandLog: CommandLog,
--- a/packages/control/src/role/createState.ts
+++ b/packages/control/src/role/createState.ts
@@ -16,7 +16,7 @@
   readonly machine: ControlState;
 }
 
-/** An empty state. A new feature is added here and gets its commands, its snapshot and its time. */
+/** Creates an empty state. A feature that is registered here receives its commands, its part of the snapshot and the log time. */
 export function createState(): StateParts {
   const documents = new DocumentState();
   const claims = new ClaimState();
--- a/packages/control/src/role/unfinishedCalls.spec.ts
+++ b/packages/control/src/role/unfinishedCalls.spec.ts
@@ -17,7 +17,7 @@
 import fc from 'fast-check';
 import { afterAll, beforeAll, beforeEach, describe, expect, it } from 'vitest';
 
-/** The service between replicas, as the library adds it. */
+/** The service between replicas, as the coordination library registers it. */
 function agreementService(): DescService {
   const added: DescService[] = [];
   const router = { service: (service: DescService) => added.push(service) };
@@ -62,9 +62,9 @@
 const textOf = (method: DescMethodUnary, message: Message): string =>
   `${method.name} ${JSON.stringify(toJson(method.input, message))}`;
 
-/** How a call ends before it is whole. */
+/** Ways in which a call ends before its message is complete. */
 const ends = {
-  /** As the runtime's own client cancels: the end of the request goes out before the reset. */
+  /** Like the client of the runtime: the end of the request is sent before the reset. */
   cancelled: (stream: http2.ClientHttp2Stream) => {
     stream.close(http2.constants.NGHTTP2_CANCEL);
   },
@@ -117,7 +117,7 @@
 
   afterAll(() => server.close());
 
-  /** Waits until what was sent before has been read: a later call is answered. */
+  /** Waits until the server has read all earlier calls, shown by the answer to a later one. */
   async function settle(peers: Peers): Promise<void> {
     await sleep(20);
     const method: DescMethodUnary = Turns.method.release;
@@ -160,17 +160,17 @@
     session.destroy();
   }
 
-  // A call that is cancelled while its connection is made reaches its handler as an empty message.
+  // Guards against a call that is cancelled while its connection is opened and reaches its handler as an empty message.
   it('is not handled as another message when it is cancelled before it is sent', async () => {
     for (const method of methods) {
       for (const afterMs of [0, 0, 1, 2]) await cancelSoon(method, afterMs);
     }
     const whole = new Set(methods.map((method) => textOf(method, filled(method))));
-    expect(handled.filter((told) => !whole.has(told))).toEqual([]);
+    expect(handled.filter((text) => !whole.has(text))).toEqual([]);
   });
 
-  // A part of a message, or a message without the end of its request, is taken for a whole one.
-  it('is not handled, whatever part of it has come and however it ends', async () => {
+  // Guards against a partial message, or one without the end of its request, that is handled as a complete one.
+  it('is not handled, whichever part of it has arrived and however it ends', async () => {
     const peers = new Peers();
     await fc.assert(
       fc.asyncProperty(unfinishedCall, async (call) => {
