--- a/packages/control/src/turns/turnService.ts
+++ b/packages/control/src/turns/turnService.ts
@@ -1,4 +1,4 @@
-/** The interface for takers of turns. */
+/** RPC service for turns. */
 import { create } from '@bufbuild/protobuf';
 import type { ServiceImpl } from '@connectrpc/connect';
 import type { Metrics } from '@jasmineroute/core';
@@ -6,7 +6,7 @@
 import type { Proposer } from '../log/index.js';
 import { controlMetrics } from '../metrics.js';
 
-/** Turns, granted by the quorum. */
+/** Grants and releases turns through the replicated log. */
 export class TurnService implements ServiceImpl<typeof controlMessage.Turns> {
   constructor(
     private readonly proposer: Proposer,
@@ -14,8 +14,8 @@
   ) {}
 
   /**
-   * Takes or renews a turn. The holder counts its time from before it sent the request, and stops acting when
-   * that time is over, whatever it hears.
+   * Takes or renews a turn. The holder counts the lease from before it sent the request, and stops acting when the lease has
+   * expired, whatever answers arrive.
    */
   async take(request: controlMessage.TakeRequest): Promise<controlMessage.TakeResponse> {
     const outcome = await this.proposer.propose('take', request);
--- a/packages/control/src/turns/turnState.spec.ts
+++ b/packages/control/src/turns/turnState.spec.ts
@@ -24,7 +24,7 @@
     applyOne(state.machine, { case: 'release', value: { name: 'weights', holder, incarnation } });
   };
 
-  it('is held by as many as the limit says', () => {
+  it('have at most as many holders as the limit', () => {
     expect(take('a', 1n, 2).granted).toBe(true);
     expect(take('b', 1n, 2).granted).toBe(true);
     expect(take('c', 1n, 2).granted).toBe(false);
@@ -32,7 +32,7 @@
     expect(take('c', 1n, 2).granted).toBe(true);
   });
 
-  it('keeps the fence while it is renewed, and raises it for every new holder', () => {
+  it('keep the fence on renewal, and raise it for every new holder', () => {
     const first = take('a').fence;
     expect(take('a').fence).toBe(first);
     release('a');
@@ -42,10 +42,9 @@
     expect(take('a').fence).toBeGreaterThan(second);
   });
 
-  it('lasts as long as its holder believes, though the first step of time comes at once', () => {
-    // Symptom: two executors give a target orders at one time.
-    // Sequence: time stands just before a step when the turn is granted; the step comes right after.
-    // Cause: the part of the step from before the grant was counted against the turn.
+  it('last as long as their holder counts, also when log time advances right after the grant', () => {
+    // Guards against two executors that send orders to one target: the log time advances right after a grant, and the part of the
+    // step from before the grant shortens the lease.
     take('a');
     advance(state.machine, MAX_STEP_MS);
     advance(state.machine, TTL_MS);
@@ -54,10 +53,9 @@
     expect(take('b').granted).toBe(true);
   });
 
-  it('makes a restarted holder wait for its older self', () => {
-    // Symptom: two processes of one name act on a target.
-    // Sequence: a paused process is replaced by a new start of the same name, then goes on.
-    // Cause: the new start took over the turn, which the old one still believes to hold.
+  it('make a restarted holder wait for the lease of its previous start', () => {
+    // Guards against two processes of one name that act on a target: a paused process is replaced by a new start, which takes over
+    // the turn, and then resumes within its lease.
     take('a', 1n);
     expect(take('a', 2n).granted).toBe(false);
     release('a', 2n);
@@ -67,10 +65,9 @@
     expect(take('a', 1n).granted).toBe(false);
   });
 
-  it('never has more holders than the limit, nor a fence that goes back', () => {
-    // Symptom: as above, by whatever way.
-    // Sequence: any interleaving of takes, renewals, releases and time.
-    // Cause: any path that grants before a holder's own time is over.
+  it('never have more holders than the limit, nor a fence that decreases', () => {
+    // Guards against any interleaving of takes, renewals, releases and time that grants a turn before the lease of its holder is
+    // over.
     const holder = fc.constantFrom('a', 'b', 'c');
     const step = fc.oneof(
       fc.record({ kind: fc.constant('take' as const), holder, incarnation: fc.constantFrom(1n, 2n) }),
@@ -80,8 +77,8 @@
     fc.assert(
       fc.property(fc.array(step, { maxLength: 60, size: 'max' }), (steps) => {
         state = createState();
-        // Until when each holder believes to hold, in the state's time.
-        const believed = new Map<string, number>();
+        // Expiry of each lease as its holder counts it, in log time.
+        const expiries = new Map<string, number>();
         let fence = 0n;
         for (const one of steps) {
           if (one.kind === 'time') {
@@ -91,16 +88,16 @@
           const name = `${one.holder}/${one.incarnation.toString()}`;
           if (one.kind === 'release') {
             release(one.holder, one.incarnation);
-            believed.delete(name);
+            expiries.delete(name);
             continue;
           }
           const answer = take(one.holder, one.incarnation, 2);
           if (!answer.granted) continue;
           const now = state.machine.now();
-          const fresh = (believed.get(name) ?? 0) <= now;
-          believed.set(name, now + TTL_MS);
-          expect([...believed.values()].filter((until) => until > now).length).toBeLessThanOrEqual(2);
-          if (fresh) fence = answer.fence > fence ? answer.fence : fence;
+          const isNewHolder = (expiries.get(name) ?? 0) <= now;
+          expiries.set(name, now + TTL_MS);
+          expect([...expiries.values()].filter((until) => until > now).length).toBeLessThanOrEqual(2);
+          if (isNewHolder) fence = answer.fence > fence ? answer.fence : fence;
           else expect(answer.fence).toBeLessThanOrEqual(fence);
         }
       }),
--- a/packages/control/src/turns/turnState.ts
+++ b/packages/control/src/turns/turnState.ts
@@ -1,4 +1,4 @@
-/** Turns as replicated state: leases with a limit of holders and a fence that only grows. */
+/** Turns as replicated state: leases with a maximum number of holders and a monotonic fencing token. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import { controlMessage, stateMessage } from '@jasmineroute/protocol';
 import { MAX_STEP_MS } from '../state/index.js';
@@ -7,10 +7,10 @@
 /** Longest lease, milliseconds. */
 export const MAX_TTL_MS = 10 * 60_000;
 
-/** Names that may be held at once. */
+/** Maximum number of names with leases. */
 export const MAX_NAMES = 20_000;
 
-/** A hundredth more time for the holder: clocks of two machines don't run equally fast. */
+/** A lease is extended by its hundredth part, as the clocks of two machines drift apart. */
 const DRIFT_DIVISOR = 100;
 
 interface Lease {
@@ -21,16 +21,15 @@
 }
 
 /**
- * When a lease granted at `now` ends. A holder counts its time from before it asked. The state's time may
- * stand up to one step behind that moment, and the next step would then end the lease early, with a second
- * holder beside the first: so one whole step is added.
+ * Log time at which a lease granted at `now` expires. A holder counts its lease from before its request. The log time may be up
+ * to one step behind that moment; the next step would end the lease early and allow a second holder, so one step is added.
  */
 function leaseExpiry(now: LogTime, ttlMs: number): LogTime {
   const ttl = Math.min(ttlMs, MAX_TTL_MS);
   return now + MAX_STEP_MS + ttl + Math.ceil(ttl / DRIFT_DIVISOR);
 }
 
-/** Leases by name. They end by the state's time alone, so an isolated or paused instance can end none. */
+/** Leases by name. Only the log time ends them, so an isolated or paused instance can't end a lease. */
 export class TurnState implements Feature {
   private lastFence = 0n;
   private readonly leasesByName = new Map<string, Lease[]>();
@@ -73,7 +72,7 @@
   private take(request: controlMessage.TakeRequest, now: LogTime): controlMessage.TakeResponse {
     const leases = this.leasesByName.get(request.name) ?? [];
     const own = leases.find((lease) => lease.holder === request.holder);
-    // An older start of the holder may still act, paused or cut off: the new one waits until its time is over.
+    // An older start of the holder may be paused or isolated and still act, so the new one waits until the lease expires.
     if (own !== undefined && own.incarnation !== request.incarnation) return refusal();
     if (own === undefined && !this.isWithinLimits(request, leases)) return refusal();
     const lease = {
@@ -104,7 +103,7 @@
     else this.leasesByName.delete(name);
   }
 
-  /** One count for all names: a name may be forgotten and its fences still only grow. */
+  /** One counter for all names, so that the fences of a name keep growing after its leases are removed. */
   private nextFence(): bigint {
     this.lastFence += 1n;
     return this.lastFence;
