--- a/packages/control/src/setting/controlSettings.ts
+++ b/packages/control/src/setting/controlSettings.ts
@@ -4,7 +4,7 @@
 
 const REPLICA = /^([a-z0-9][a-z0-9._-]*)=([^\s=,]+:\d+)$/;
 
-/** "name=host:port,name=host:port". */
+/** Parses "name=host:port,name=host:port". */
 const replicaList = z.string().transform((text, context): ReplicaAddress[] => {
   const replicas = text.split(',').map((part) => REPLICA.exec(part.trim()));
   const found = replicas.flatMap((match) =>
@@ -24,35 +24,41 @@
 
 export const controlSettings = z.object({
   replicas: replicaList.describe(
-    'control instances of the first start, this one included, as name=host:port with commas between; later changes are made in the control document',
+    'initial control instances, including this one, as name=host:port separated by commas; later changes are made in the control document',
   ),
   gossip: flag(true).describe(
-    'whether control instances tell each other which processes beat at them; "false" where no process announces itself by beats',
+    'whether control instances gossip the processes that send them heartbeats; "false" where no process announces itself by heartbeats',
   ),
   enlists: flag(false).describe(
-    'whether an instance that does not vote asks the others to take it in; "false": the control document says who votes',
+    'whether an instance that does not vote requests the voter role from the others; "false": the control document determines the voters',
   ),
   exclusiveFolder: flag(true).describe(
-    'whether the data folder is locked against a second process; "false" where the platform never starts two and the disk has no hard links',
+    'whether the data folder is locked against a second process; "false" where the platform never starts two and the disk does not support hard links',
   ),
   lossesToBear: z.coerce
     .number()
     .int()
     .min(0)
     .default(1)
-    .describe('control instances that may be lost at once; a warning is logged where too few vote for that'),
+    .describe(
+      'number of control instances that may fail at the same time; a warning is logged when there are too few voters for it',
+    ),
   targetHeartbeatMs: count()
     .default(1_000)
-    .describe('milliseconds between two heartbeats of a target that announces itself by calls'),
+    .describe('milliseconds between two heartbeats of a target that announces itself'),
   proposalTimeoutMs: count()
     .default(3_000)
-    .describe('milliseconds until a change that no quorum has confirmed is given up as unknown'),
+    .describe(
+      'milliseconds after which a change without confirmation by a quorum fails with an unknown outcome',
+    ),
   maxClaims: count()
     .default(1_000_000)
-    .describe('claims that may be held at once; more are refused. About 50 bytes each once settled'),
+    .describe('maximum number of claims; further ones are refused. A settled claim takes about 50 bytes'),
   maxAnswerBytes: count()
     .default(32 * 1024 * 1024)
-    .describe('bytes of answers kept for resends of non-idempotent requests; the oldest go first'),
+    .describe(
+      'maximum bytes of answers kept for resends of non-idempotent requests; the oldest are evicted first',
+    ),
 });
 
 /** Settings of the control role. */
