--- a/packages/control/src/bench/followers.ts
+++ b/packages/control/src/bench/followers.ts
@@ -1,4 +1,4 @@
-/** What one round of news costs a control instance, by the followers that are told. */
+/** Measures the processor time of one round of updates on a control instance, by the number of followers. */
 import { create, toBinary } from '@bufbuild/protobuf';
 import { silentLog, systemClock } from '@jasmineroute/core';
 import { controlMessage } from '@jasmineroute/protocol';
@@ -16,7 +16,7 @@
   [360, 490],
 ] as const;
 
-/** Targets that each entry has work at. */
+/** Targets on which each entry has work. */
 const TARGETS_PER_ENTRY = 20;
 
 const WARM_UP_ROUNDS = 5;
@@ -28,7 +28,7 @@
 
 type Events = AsyncGenerator<controlMessage.FollowEvent>;
 
-/** Boards of one instance, all of whose entries follow it. */
+/** Creates the service of one instance that all entries follow. */
 function setUp() {
   const { configuration, machine } = createState();
   const loads = new RecentReports<controlMessage.TargetLoad>(systemClock);
@@ -57,23 +57,23 @@
   const request = create(controlMessage.FollowRequestSchema, { role: 'entry', bulk: true });
   const names = Array.from({ length: entries }, (_, at) => `entry-${at}`);
   const streams = names.map((name) => service.follow({ ...request, name }, { signal: ended.signal }));
-  const spent: number[] = [];
+  const cpuMs: number[] = [];
   let bytes = 0;
   for (let round = 0; round < WARM_UP_ROUNDS + ROUNDS; round += 1) {
     reportChanges(round, names, targets, loads, work);
     service.notify();
-    const begun = process.cpuUsage();
+    const start = process.cpuUsage();
     bytes = await readAll(streams);
-    const { user, system } = process.cpuUsage(begun);
-    if (round >= WARM_UP_ROUNDS) spent.push((user + system) / 1_000);
+    const { user, system } = process.cpuUsage(start);
+    if (round >= WARM_UP_ROUNDS) cpuMs.push((user + system) / 1_000);
   }
   ended.abort();
-  const ms = median(spent);
+  const ms = median(cpuMs);
   const each = Math.round((ms * 1_000) / entries);
   console.log(`| ${entries}, ${targets} | ${ms.toFixed(1)} | ${each} | ${Math.round(bytes / 1_024)} |`);
 }
 
-/** What entries and targets tell between two rounds. */
+/** Reports of entries and targets between two rounds. */
 function reportChanges(
   round: number,
   names: readonly string[],
@@ -86,17 +86,17 @@
     loads.take(targetId, create(controlMessage.TargetLoadSchema, { targetId, running: round, waiting: 0 }));
   }
   for (const [at, entry] of names.entries()) {
-    const told = Array.from({ length: Math.min(TARGETS_PER_ENTRY, targets) }, (_, n) =>
+    const tokens = Array.from({ length: Math.min(TARGETS_PER_ENTRY, targets) }, (_, n) =>
       create(controlMessage.TargetTokensSchema, {
         targetId: `i-${((at + n * 7) % targets).toString().padStart(10, '0')}`,
         tokens: 1_000 + round,
       }),
     );
-    work.take(entry, create(controlMessage.EntryWorkSchema, { entry, targets: told }));
+    work.take(entry, create(controlMessage.EntryWorkSchema, { entry, targets: tokens }));
   }
 }
 
-/** Reads the next event that tells something of each stream and encodes it. @returns bytes in all. */
+/** Reads and encodes the next event with content of each stream. @returns the total number of bytes. */
 async function readAll(streams: readonly Events[]): Promise<number> {
   const sizes = streams.map(async (stream) => {
     for (;;) {
--- a/packages/control/src/bench/heap.ts
+++ b/packages/control/src/bench/heap.ts
@@ -1,14 +1,14 @@
-/** Measures the memory of something by difference. */
+/** Measures the memory of a value by the difference in use. */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 
 setFlagsFromString('--expose-gc');
 const collect = runInNewContext('gc') as () => void;
 
-/** Turns in which buffers that nobody holds are given back. */
+/** Turns of the event loop within which unreferenced buffers are released. */
 const SETTLE_TURNS = 5;
 
-/** Bytes in use after collection: the heap and the buffers outside it. */
+/** Bytes in use after a garbage collection, on the heap and in external buffers. */
 export async function bytesInUse(): Promise<number> {
   for (let turn = 0; turn < SETTLE_TURNS; turn += 1) {
     collect();
@@ -18,8 +18,10 @@
   return heapUsed + external;
 }
 
-/** Bytes that what `make` returns holds. */
-export async function bytesHeld<T>(make: () => T): Promise<{ readonly bytes: number; readonly value: T }> {
+/** Bytes that the value returned by `make` retains. */
+export async function retainedBytes<T>(
+  make: () => T,
+): Promise<{ readonly bytes: number; readonly value: T }> {
   const before = await bytesInUse();
   const value = make();
   const after = await bytesInUse();
--- a/packages/control/src/bench/memory.ts
+++ b/packages/control/src/bench/memory.ts
@@ -8,12 +8,12 @@
 import type { CommandInit } from '../log/index.js';
 import { createState } from '../role/index.js';
 import type { StateParts } from '../role/index.js';
-import { bytesHeld } from './heap.js';
+import { retainedBytes } from './heap.js';
 
 const CLAIM_COUNTS = [3_000, 15_000, 75_000, 300_000];
 const CUSTOMER_COUNTS = [19, 190, 950, 1_900];
 const DOCUMENT_COUNTS = [5, 25, 100, 500];
-/** Customers or documents in all copies of the smallest state. */
+/** Customers or documents in all copies of a small state together. */
 const SMALLEST_TOTAL = 2_000;
 const BATCH = 500;
 const WINDOW_MS = 86_400_000n;
@@ -70,11 +70,11 @@
   const rows: string[] = [];
   for (const count of counts) {
     const state = createState();
-    const open = await bytesHeld(() => {
+    const open = await retainedBytes(() => {
       fill(state, count, claimCommand);
     });
     rows.push(row('open claims', count, open.bytes));
-    const settled = await bytesHeld(() => {
+    const settled = await retainedBytes(() => {
       fill(state, count, settleCommand);
     });
     rows.push(row('settled claims', count, open.bytes + settled.bytes));
@@ -86,10 +86,10 @@
   return rows;
 }
 
-/** Holds several equal states at once, so that the noise of the heap counts less against a small one. */
+/** Creates several equal states at once, so that the noise of the heap matters less for small ones. */
 async function stateRow(name: string, count: number, make: (state: StateParts) => void): Promise<string> {
   const copies = Math.ceil(SMALLEST_TOTAL / count);
-  const held = await bytesHeld(() =>
+  const held = await retainedBytes(() =>
     Array.from({ length: copies }, () => {
       const state = createState();
       make(state);
@@ -121,9 +121,9 @@
   return rows;
 }
 
-/** The rows of the report. */
+/** Measures the memory. @returns the rows of the report. */
 export async function measureMemory(): Promise<string[]> {
-  // Once without counting: the first run also loads code.
+  // Warm-up: the first run also loads and compiles code.
   await claimRows([1_000]);
   await documentRows([10], [5]);
   const head = `${'held'.padEnd(28)}${'count'.padStart(9)}${'bytes'.padStart(13)}${'each'.padStart(10)}`;
--- a/packages/control/src/bench/speed.ts
+++ b/packages/control/src/bench/speed.ts
@@ -23,7 +23,7 @@
   if (answer.state !== controlMessage.ClaimState.GRANTED) throw new Error(`state ${answer.state}`);
 }
 
-/** Latencies of claims by so many callers at once, for a time. */
+/** Sends claims from concurrent callers for `ms` milliseconds. @returns the sorted latencies, milliseconds. */
 async function run(cluster: Cluster, node: Node, concurrency: number, ms: number): Promise<number[]> {
   const latencies: number[] = [];
   const end = performance.now() + ms;
@@ -63,7 +63,7 @@
   return rows;
 }
 
-/** The rows of the report. */
+/** Measures the speed. @returns the rows of the report. */
 export async function measureSpeed(): Promise<string[]> {
   const rows = ['sync ms  asked at   callers   claims/s   p50 ms   p99 ms   CPU µs'];
   for (const delayMs of SYNC_DELAYS_MS) rows.push(...(await rowsOf(delayMs)));
