--- a/packages/control/src/follow/followService.ts
+++ b/packages/control/src/follow/followService.ts
@@ -5,13 +5,13 @@
 import { controlEvents } from '../events.js';
 import { isCaughtUp } from '../log/index.js';
 import { Coalescer } from '../recent/index.js';
-import { SharedUpdates } from './bulletins.js';
-import { FollowerCursor, streamKindOf } from './followerPlace.js';
+import { SharedUpdates } from './sharedUpdates.js';
+import { FollowerCursor, streamKindOf } from './followerCursor.js';
 import type { FollowSources } from './followSources.js';
-import type { StreamKind, SharedStream } from './followerPlace.js';
-import { UpdateSignal } from './news.js';
-import { EventLoopScheduler } from './pacer.js';
-import { ReportReceiver } from './reportIntake.js';
+import type { StreamKind, SharedStream } from './followerCursor.js';
+import { UpdateSignal } from './updateSignal.js';
+import { EventLoopScheduler } from './eventLoopScheduler.js';
+import { ReportReceiver } from './reportReceiver.js';
 import { SharedFieldsSource } from './sharedFields.js';
 
 /** Time between two events without changes, milliseconds, by which a follower knows that the stream is alive. */
--- a/packages/control/src/follow/followSources.ts
+++ b/packages/control/src/follow/followSources.ts
@@ -4,7 +4,7 @@
 import type { CommandLog } from '../log/index.js';
 import type { RelayedTargets, TargetBook } from '../targets/index.js';
 import type { OtherControls } from './otherControls.js';
-import type { ReportSinks } from './reportIntake.js';
+import type { ReportSinks } from './reportReceiver.js';
 
 /** The state that the streams send. */
 export interface FollowSources extends ReportSinks {
--- a/packages/control/src/follow/followerPlace.ts
+++ b/packages/control/src/follow/followerCursor.ts
@@ -3,7 +3,7 @@
 import { controlMessage } from '@jasmineroute/protocol';
 import type { KeptParts } from '@jasmineroute/protocol';
 import { isCaughtUp } from '../log/index.js';
-import type { SharedUpdates } from './bulletins.js';
+import type { SharedUpdates } from './sharedUpdates.js';
 import type { FollowSources } from './followSources.js';
 import { changesSince } from './sharedFields.js';
 
--- a/packages/control/src/follow/index.ts
+++ b/packages/control/src/follow/index.ts
@@ -1,4 +1,4 @@
 export * from './followService.js';
-export * from './enlisting.js';
+export * from './voterRequests.js';
 export * from './otherControls.js';
 export * from './referral.js';
--- a/packages/control/src/follow/sharedFields.ts
+++ b/packages/control/src/follow/sharedFields.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 import type { KeptParts } from '@jasmineroute/protocol';
-import type { UpdateSource, SharedFields } from './bulletins.js';
+import type { UpdateSource, SharedFields } from './sharedUpdates.js';
 import type { FollowSources } from './followSources.js';
 
 /** Age up to which a report on work counts, milliseconds; entries renew it twice within this time. */
--- a/packages/control/src/follow/bulletins.spec.ts
+++ b/packages/control/src/follow/sharedUpdates.spec.ts
@@ -1,8 +1,8 @@
 import { create, fromBinary } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 import { beforeEach, describe, expect, it } from 'vitest';
-import { SharedUpdates } from './bulletins.js';
-import type { UpdateSource } from './bulletins.js';
+import { SharedUpdates } from './sharedUpdates.js';
+import type { UpdateSource } from './sharedUpdates.js';
 
 /** More updates than are retained. */
 const MANY = 40;
--- a/packages/control/src/follow/enlisting.spec.ts
+++ b/packages/control/src/follow/voterRequests.spec.ts
@@ -9,7 +9,7 @@
 import { DisklessLog } from '../log/index.js';
 import type { CommandLog } from '../log/index.js';
 import { createState } from '../role/createState.js';
-import { requestVoterRole } from './enlisting.js';
+import { requestVoterRole } from './voterRequests.js';
 
 const OWN = '10.0.0.1:1';
 const ANSWERS = '10.0.0.2:1';
--- a/packages/control/src/targets/index.ts
+++ b/packages/control/src/targets/index.ts
@@ -1,2 +1,2 @@
 export * from './relayedTargets.js';
-export * from './targetBook.js';
+export * from './targetRegistry.js';
--- a/packages/control/src/targets/relayedTargets.spec.ts
+++ b/packages/control/src/targets/relayedTargets.spec.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { RelayedTargets } from './relayedTargets.js';
-import { TargetBook } from './targetBook.js';
+import { TargetBook } from './targetRegistry.js';
 
 const { Announcement } = controlMessage;
 
--- a/packages/control/src/targets/targetBook.spec.ts
+++ b/packages/control/src/targets/targetRegistry.spec.ts
@@ -2,8 +2,8 @@
 import { ManualClock, silentLog } from '@jasmineroute/core';
 import { controlMessage } from '@jasmineroute/protocol';
 import { beforeEach, describe, expect, it } from 'vitest';
-import { TargetBook } from './targetBook.js';
-import type { Heartbeat } from './targetBook.js';
+import { TargetBook } from './targetRegistry.js';
+import type { Heartbeat } from './targetRegistry.js';
 
 const HEARTBEAT_MS = 1_000;
 const { Announcement } = controlMessage;
