--- a/packages/control/src/bench/heap.ts
+++ b/packages/control/src/bench/heap.ts
@@ -5,7 +5,7 @@
 setFlagsFromString('--expose-gc');
 const collect = runInNewContext('gc') as () => void;
 
-/** Turns of the event loop within which unreferenced buffers are released. */
+/** Iterations of the event loop within which unreferenced buffers are released. */
 const SETTLE_TURNS = 5;
 
 /** Bytes in use after a garbage collection, on the heap and in external buffers. */
--- a/packages/control/src/follow/follow.spec.ts
+++ b/packages/control/src/follow/follow.spec.ts
@@ -16,7 +16,7 @@
 const configuration = (number: number) => ({ number, routes: [], services: [] });
 const source = (number: number): Uint8Array => Buffer.from(`sent ${number}`);
 
-describe('followers of control instances', () => {
+describe('control instances and their followers', () => {
   let cluster: Cluster;
   let stopped: AbortController;
   /** Names in the newest replica configuration that an instance logged. */
--- a/packages/control/src/follow/followService.spec.ts
+++ b/packages/control/src/follow/followService.spec.ts
@@ -49,7 +49,7 @@
   stopped.abort();
 });
 
-const turn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+const nextIteration = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 type Events = AsyncGenerator<controlMessage.FollowEvent>;
 
@@ -59,25 +59,26 @@
     if (!queued) return;
 }
 
-/** Reads one event of each stream. @returns how many came in each turn of the event loop. */
-async function eventsByTurn(streams: readonly Events[]): Promise<number[]> {
-  const byTurn: number[] = [];
+/** Reads one event of each stream. @returns how many came in each iteration of the event loop. */
+async function eventsByIteration(streams: readonly Events[]): Promise<number[]> {
+  const byIteration: number[] = [];
   let events = 0;
   for (const stream of streams) void nextEvent(stream).then(() => (events += 1));
   for (let before = 0; before < streams.length; before = events) {
-    await turn();
-    byTurn.push(events - before);
+    await nextIteration();
+    byIteration.push(events - before);
   }
-  return byTurn;
+  return byIteration;
 }
 
-// Guards against a leader that sends to all entries in one turn of the event loop, answers no heartbeat and loses its quorum.
-it('serves one follower in a turn of the event loop, for new followers and for updates', async () => {
+// Guards against a leader that sends to all entries in one iteration of the event loop, answers no heartbeat and loses its
+// quorum.
+it('serves one follower in an iteration of the event loop, for new followers and for updates', async () => {
   const request = create(controlMessage.FollowRequestSchema, { role: 'entry', bulk: true });
   const names = Array.from({ length: FOLLOWERS }, (_, at) => `entry-${at}`);
   const streams = names.map((name) => service.follow({ ...request, name }, { signal: stopped.signal }));
-  expect(Math.max(...(await eventsByTurn(streams)))).toBe(1);
-  const counts = eventsByTurn(streams);
+  expect(Math.max(...(await eventsByIteration(streams)))).toBe(1);
+  const counts = eventsByIteration(streams);
   service.notify();
   expect(Math.max(...(await counts))).toBe(1);
 });
@@ -93,7 +94,7 @@
       if (next.done !== true && next.value.queued) queued += 1;
     });
   }
-  await turn();
+  await nextIteration();
   expect(queued).toBe(FOLLOWERS - 1);
 });
 
@@ -112,7 +113,8 @@
   expect(order.slice(0, 3)).toContain('known');
 });
 
-// Guards against entries that apply long replaced configurations, one after the other, while the log is replayed after a restart.
+// Guards against entries that apply long replaced configurations, one after the other, while the log is replayed after a
+// restart.
 it('sends no configuration while the log is replayed', async () => {
   commandLog.isolate(true);
   commandLog.behind = 1n;
@@ -126,9 +128,9 @@
     if (number === 3) commandLog.behind = 0n;
     const content = new Uint8Array([number]);
     applyOne(machine, { case: 'configure', value: { number: BigInt(number), content, source: content } });
-    for (let turns = 0; turns < 4; turns += 1) await turn();
+    for (let count = 0; count < 4; count += 1) await nextIteration();
     service.notify();
-    for (let turns = 0; turns < 4; turns += 1) await turn();
+    for (let count = 0; count < 4; count += 1) await nextIteration();
   }
   expect(received).toEqual([3]);
   stopped.abort();
@@ -145,7 +147,7 @@
   })();
   const change = async (action: () => void): Promise<void> => {
     action();
-    for (let turns = 0; turns < 6; turns += 1) await turn();
+    for (let count = 0; count < 6; count += 1) await nextIteration();
   };
   await change(() => undefined);
   for (let steps = 0; steps < 3; steps += 1) {
--- a/packages/control/src/follow/followService.ts
+++ b/packages/control/src/follow/followService.ts
@@ -17,7 +17,7 @@
 /** Time between two events without changes, milliseconds, by which a follower knows that the stream is alive. */
 const HEARTBEAT_MS = 800;
 
-/** Number of entries up to which the delays below hold. With more, each event has more receivers and changes are coalesced for longer. */
+/** The delays below hold for up to so many entries and grow in proportion beyond: each event then has more receivers. */
 const ENTRIES_PER_DELAY = 8;
 
 /** Delay that coalesces reports on work into one event, milliseconds: about the duration of a prefill. */
@@ -29,13 +29,19 @@
 /** The same on spare streams, milliseconds. */
 const SPARE_DELAY_MS = 25;
 
-/** Minimum delay of loads and caches to entries, milliseconds: they change continuously, and are not fresh on arrival anyway. */
+/**
+ * Minimum delay of loads and caches to entries, milliseconds: they change continuously, and are not fresh on arrival
+ * anyway.
+ */
 const LOADS_DELAY_MS = 150;
 
 /** Minimum delay of reports to a control instance that relays them, milliseconds. */
 const RELAY_DELAY_MS = 150;
 
-/** Delay of loads to a control instance that relays nothing, milliseconds: it only needs them to know which targets have a process beside them. */
+/**
+ * Delay of loads to a control instance that relays nothing, milliseconds: it needs them only to know which targets have a
+ * process beside them.
+ */
 const CONTROL_LOADS_DELAY_MS = 500;
 
 const isControlStream = (kind: StreamKind): boolean => kind === 'own' || kind === 'loads';
@@ -58,13 +64,13 @@
   private readonly entries = new Map<string, number>();
   private readonly receiver: ReportReceiver;
   /** Quorum contact and members at the last notification. */
-  private sentStatus: string;
+  private lastStatus: string;
   /** Leaves time between two events to read and answer heartbeats of the log. */
   private readonly scheduler = new EventLoopScheduler();
 
   constructor(private readonly sources: FollowSources) {
     this.receiver = new ReportReceiver(sources, sources.others.cached);
-    this.sentStatus = this.relevantStatus();
+    this.lastStatus = this.relevantStatus();
     this.shared = { bulk: sharedStream(sources, true), spare: sharedStream(sources, false) };
     sources.configuration.onChange(() => {
       if (isCaughtUp(sources.commandLog.status())) this.notify();
@@ -82,8 +88,8 @@
   /** Wakes the streams when the quorum contact or the members change, not at each step of an election. */
   private readonly notifyStatus = (): void => {
     const status = this.relevantStatus();
-    if (status === this.sentStatus) return;
-    this.sentStatus = status;
+    if (status === this.lastStatus) return;
+    this.lastStatus = status;
     this.notify();
   };
 
@@ -109,10 +115,10 @@
     const quick = this.coalescer(WORK_DELAY_MS, signals.bulk);
     const slow = this.coalescer(WORK_DELAY_MS, signals.bulk, LOADS_DELAY_MS);
     const own = this.coalescer(WORK_DELAY_MS, signals.own, RELAY_DELAY_MS);
-    const ownLoads = new Coalescer(clock, () => CONTROL_LOADS_DELAY_MS, signals.loads.notify);
+    const controlLoads = new Coalescer(clock, () => CONTROL_LOADS_DELAY_MS, signals.loads.notify);
     work.onChange(quick.recordChange);
     work.onChange(own.recordChange);
-    for (const coalescer of [slow, own, ownLoads]) loads.onChange(coalescer.recordChange);
+    for (const coalescer of [slow, own, controlLoads]) loads.onChange(coalescer.recordChange);
     for (const coalescer of [slow, own]) this.receiver.onCached(coalescer.recordChange);
     others.onCached(slow.recordChange);
   }
--- a/packages/control/src/follow/sharedUpdates.ts
+++ b/packages/control/src/follow/sharedUpdates.ts
@@ -5,7 +5,7 @@
 /** Updates that are retained; a follower that lags further behind gets a snapshot. */
 const MAX_RETAINED_UPDATES = 32;
 
-/** Updates after which the snapshot for new followers is encoded again; until then they get the last snapshot and the updates since. */
+/** Updates after which the snapshot is encoded again; until then new followers get the last one and the updates since. */
 const SNAPSHOT_MAX_LAG = 8;
 
 /** The fields of an event that are the same for all followers of a kind. */
--- a/packages/control/src/follow/updateSignal.ts
+++ b/packages/control/src/follow/updateSignal.ts
@@ -1,4 +1,7 @@
-/** Wakes the streams of followers. A version counter keeps a stream from missing a change that arrives while it sends an event. */
+/**
+ * Wakes the streams of followers. A version counter keeps a stream from missing a change that arrives while it sends an
+ * event.
+ */
 import type { Clock } from '@jasmineroute/core';
 import { ChangeSignal } from '@jasmineroute/directory';
 
--- a/packages/control/src/follow/voterRequests.ts
+++ b/packages/control/src/follow/voterRequests.ts
@@ -43,7 +43,8 @@
 export async function requestVoterRole(parts: VoterRequestParts, signal: AbortSignal): Promise<void> {
   const { commandLog, clock } = parts;
   const requester = new VoterRequester(parts);
-  // A voter finds the leader by itself. An instance with an empty disk requests at once: its vote is missing until the cluster adds it.
+  // A voter finds the leader without a request. Without a vote the first request goes out at once: after a replaced disk the
+  // cluster lacks a voter until then.
   if (!VOTING_STATES.has(commandLog.status().state)) await requester.requestFromAll();
   let pauseMs = RETRY_MS;
   for (;;) {
--- a/packages/control/src/role/cancelledVoterRequest.spec.ts
+++ b/packages/control/src/role/cancelledVoterRequest.spec.ts
@@ -36,7 +36,8 @@
     return (await Promise.all(reads)).some((read) => read.isOk());
   };
 
-  // Guards against a cancelled voter request that is handled as one without a name and stops the replica of the leader for good.
+  // Guards against a cancelled voter request that is handled as one without a name and stops the replica of the leader for
+  // good.
   it('still read the configuration back after cancelled voter requests', async () => {
     for (let round = 0; round < 3; round += 1) {
       await until(() => cluster.nodes.some(({ control }) => control.readiness().ready));
@@ -46,8 +47,8 @@
     expect(cluster.nodes.every(({ control }) => control.readiness().ready)).toBe(true);
   });
 
-  // Guards against a voter request without a name, or with an address that can't be called, that stops the replica of the leader
-  // for good.
+  // Guards against a voter request without a name, or with an address that can't be called, that stops the replica of the
+  // leader for good.
   it.each([
     { name: '', address: '127.0.0.1:9' },
     { name: 'c9', address: '' },
--- a/packages/control/src/role/control.spec.ts
+++ b/packages/control/src/role/control.spec.ts
@@ -121,8 +121,8 @@
   });
 
   it('answers a resend after a lost answer with the first answer', async () => {
-    // Guards against a conflict of an operator with their own change: it is accepted, the answer is lost between log and service,
-    // and the resend of the tool counts as a new change.
+    // Guards against a conflict of an operator with their own change: it is accepted, the answer is lost between log and
+    // service, and the resend of the tool counts as a new change.
     log.lostAnswers = 1;
     await expect(apply({})).rejects.toThrow('no answer');
     expect(await apply({})).toMatchObject({ case: 'accepted', value: { version: 1n } });
@@ -130,8 +130,8 @@
   });
 
   it('answers a resend that would conflict by now with the first answer', async () => {
-    // Guards against an accepted change that is reported as refused: the answer is lost, the model moves to another service, and
-    // the resend is checked against documents that were accepted later.
+    // Guards against an accepted change that is reported as refused: the answer is lost, the model moves to another
+    // service, and the resend is checked against documents that were accepted later.
     const first = await apply({});
     const moved = modelText({ models: ['renamed'] });
     await apply({ text: moved, applyId: 'a-2', baseVersion: 1n });
@@ -186,8 +186,8 @@
   });
 
   it('stops serving at a log entry of a newer release', async () => {
-    // Guards against an instance of an older release that serves outdated documents: in a rolling upgrade a newer instance writes
-    // a command that this one doesn't know, and skipping it makes the states differ.
+    // Guards against an instance of an older release that serves outdated documents: in a rolling upgrade a newer instance
+    // writes a command that this one doesn't know, and skipping it makes the states differ.
     const directory = createClient(controlMessage.Directory, peers.transport(server.address));
     let events = 0;
     for await (const event of directory.watch({ name: 'w1' })) {
--- a/packages/control/src/role/controlCluster.spec.ts
+++ b/packages/control/src/role/controlCluster.spec.ts
@@ -116,8 +116,8 @@
   });
 
   it('keeps accepted documents and first answers when the leader is lost', async () => {
-    // Guards against the loss of an accepted document, and a conflict of a resend with its own change: the leader is lost with the
-    // answer, after it accepted before a quorum had the entry, or kept the answer only for itself.
+    // Guards against the loss of an accepted document, and a conflict of a resend with its own change: the leader is lost
+    // with the answer, after it accepted before a quorum had the entry, or kept the answer only for itself.
     const first = await leader();
     const change = { applyId: 'a-1', operator: 'alice' };
     const outcome = await apply(first, change);
@@ -134,8 +134,8 @@
   });
 
   it('keeps claims after the loss of the leader and after a restart of all', async () => {
-    // Guards against a non-idempotent request that runs twice: its claim is granted before a quorum has it on disk, the leader is
-    // lost, all instances restart, and the caller resends.
+    // Guards against a non-idempotent request that runs twice: its claim is granted before a quorum has it on disk, the
+    // leader is lost, all instances restart, and the caller resends.
     const first = await leader();
     expect((await claim(first, 'one')).state).toBe(State.GRANTED);
     await cluster.kill(first);
@@ -154,8 +154,8 @@
   });
 
   it('grants each key once when all instances get claims at once and the leader is lost', async () => {
-    // Guards against two entries that run the same request: resends arrive at several entries at once while the leader is lost, and
-    // two leaders, or a leader and its log, each grant the key.
+    // Guards against two entries that run the same request: resends arrive at several entries at once while the leader is
+    // lost, and two leaders, or a leader and its log, each grant the key.
     const granted = new Map<string, Set<string>>();
     const first = await leader();
     const ask = async (node: Node, index: number): Promise<void> => {
@@ -208,8 +208,8 @@
   });
 
   it('keeps a turn for the time that its holder counts, also when the granting leader is isolated', async () => {
-    // Guards against two executors that send orders to one target: the leader is isolated right after it granted a turn, and the
-    // new leader counts the lease from a moment before the grant, or not at all.
+    // Guards against two executors that send orders to one target: the leader is isolated right after it granted a turn,
+    // and the new leader counts the lease from a moment before the grant, or not at all.
     const ttlMs = 2_500;
     const take = async (node: Node, holder: string): Promise<controlMessage.TakeResponse> => {
       const turns = cluster.clientOf(controlMessage.Turns, node);
@@ -231,8 +231,8 @@
   });
 
   it('notifies watchers when an instance is isolated, and reverts nothing when it is back', async () => {
-    // Guards against an entry that trusts an old document: a control instance is isolated while the others accept a document, and
-    // doesn't notice it, or brings its older state back afterwards.
+    // Guards against an entry that trusts an old document: a control instance is isolated while the others accept a
+    // document, and doesn't notice it, or brings its older state back afterwards.
     await apply(nodeAt(0), { applyId: 'a-1' });
     const lone = await leader();
     cluster.isolate(lone);
@@ -282,8 +282,8 @@
   });
 
   it('ends the streams of watchers when it drains', async () => {
-    // Guards against a planned stop that never ends, and watchers that notice it only by a timeout: a watch stream ends by itself
-    // only when the watcher leaves.
+    // Guards against a planned stop that never ends, and watchers that notice it only by a timeout: a watch stream ends by
+    // itself only when the watcher leaves.
     const node = nodeAt(0);
     const directory = cluster.clientOf(controlMessage.Directory, node);
     let events = 0;
--- a/packages/control/src/role/createState.ts
+++ b/packages/control/src/role/createState.ts
@@ -16,7 +16,10 @@
   readonly machine: ControlState;
 }
 
-/** Creates an empty state. A feature that is registered here receives its commands, its part of the snapshot and the log time. */
+/**
+ * Creates an empty state. A feature that is registered here receives its commands, its part of the snapshot and the log
+ * time.
+ */
 export function createState(): StateParts {
   const documents = new DocumentState();
   const claims = new ClaimState();
--- a/packages/control/src/setting/controlSettings.ts
+++ b/packages/control/src/setting/controlSettings.ts
@@ -45,7 +45,7 @@
     ),
   targetHeartbeatMs: count()
     .default(1_000)
-    .describe('milliseconds between two heartbeats of a target that announces itself'),
+    .describe('milliseconds between two heartbeats of a target that announces itself by calls'),
   proposalTimeoutMs: count()
     .default(3_000)
     .describe(
--- a/packages/control/src/turns/turnState.spec.ts
+++ b/packages/control/src/turns/turnState.spec.ts
@@ -43,8 +43,8 @@
   });
 
   it('last as long as their holder counts, also when log time advances right after the grant', () => {
-    // Guards against two executors that send orders to one target: the log time advances right after a grant, and the part of the
-    // step from before the grant shortens the lease.
+    // Guards against two executors that send orders to one target: the log time advances right after a grant, and the part
+    // of the step from before the grant shortens the lease.
     take('a');
     advance(state.machine, MAX_STEP_MS);
     advance(state.machine, TTL_MS);
@@ -54,8 +54,8 @@
   });
 
   it('make a restarted holder wait for the lease of its previous start', () => {
-    // Guards against two processes of one name that act on a target: a paused process is replaced by a new start, which takes over
-    // the turn, and then resumes within its lease.
+    // Guards against two processes of one name that act on a target: a paused process is replaced by a new start, which
+    // takes over the turn, and then resumes within its lease.
     take('a', 1n);
     expect(take('a', 2n).granted).toBe(false);
     release('a', 2n);
@@ -66,8 +66,8 @@
   });
 
   it('never have more holders than the limit, nor a fence that decreases', () => {
-    // Guards against any interleaving of takes, renewals, releases and time that grants a turn before the lease of its holder is
-    // over.
+    // Guards against any interleaving of takes, renewals, releases and time that grants a turn before the lease of its
+    // holder is over.
     const holder = fc.constantFrom('a', 'b', 'c');
     const step = fc.oneof(
       fc.record({ kind: fc.constant('take' as const), holder, incarnation: fc.constantFrom(1n, 2n) }),
