--- a/packages/control/src/role/control.ts
+++ b/packages/control/src/role/control.ts
@@ -1,4 +1,4 @@
-/** The control role: documents, claims and turns over the replicated log, and the directory's feed. */
+/** The control role: documents, claims and turns on the replicated log, the streams to followers, and the directory. */
 import type { ConnectRouter } from '@connectrpc/connect';
 import { create } from '@bufbuild/protobuf';
 import { ProblemTally, runLasting } from '@jasmineroute/core';
@@ -12,7 +12,7 @@
 import { ConfigurationService } from '../configuration/index.js';
 import { DocumentService, DocumentView } from '../documents/index.js';
 import { controlEvents } from '../events.js';
-import { FollowService, OtherControls, Referral, enlist } from '../follow/index.js';
+import { FollowService, OtherControls, Referral, requestVoterRole } from '../follow/index.js';
 import { RecentReports } from '../recent/index.js';
 import { DisklessLog, Proposer } from '../log/index.js';
 import type { CommandLog } from '../log/index.js';
@@ -30,15 +30,15 @@
 import type { StateParts } from './createState.js';
 
 /**
- * Bounds of the proposer. Two batches under way: a command that comes while one is under way need not wait for
- * its end, and with more the batches of a busy instance get so small that their messages cost more than they carry.
+ * Limits of the proposer. With two batches in flight a command need not wait for the batch before it to commit; with more, the
+ * batches of a busy instance get so small that the overhead per message outweighs the content.
  */
 const PROPOSER_LIMITS = { inFlight: 2, batch: 512, batchBytes: 1024 * 1024, waitingBytes: 64 * 1024 * 1024 };
 
-/** What a control instance calls outside the system. */
+/** External systems that a control instance calls. */
 export interface OutsidePorts {
   readonly stores?: StorePort;
-  /** Orders to targets that have no process beside them. */
+  /** Orders to targets without a process beside them. */
   readonly orders?: RemoteOrders;
 }
 
@@ -47,12 +47,12 @@
   private readonly proposer: Proposer;
   private readonly view: DocumentView;
   private readonly members: Membership;
-  private readonly source: ControlDocumentSource;
-  private readonly timeKeeper: LogTimeAdvancer;
-  private readonly replicaKeeper: ReplicaReconciler;
-  /** Numbered configurations, for operators' interfaces in this process. */
+  private readonly documentSource: ControlDocumentSource;
+  private readonly logTimeAdvancer: LogTimeAdvancer;
+  private readonly replicaReconciler: ReplicaReconciler;
+  /** Numbered configurations, for operator APIs in this process. */
   readonly configurations: ConfigurationService;
-  /** Announced targets, for interfaces in this process that targets call. */
+  /** Announced targets, for APIs in this process that targets call. */
   readonly targets: TargetBook;
   private readonly loads: RecentReports<controlMessage.TargetLoad>;
   private readonly work: RecentReports<controlMessage.EntryWork>;
@@ -66,7 +66,7 @@
   private readonly unreadableCalls: ProblemTally;
   private readonly ended = new AbortController();
   private draining = false;
-  /** Control instances known from the settings, host:port. */
+  /** Control instances from the settings, host:port. */
   private seeds: readonly string[];
 
   constructor(
@@ -81,9 +81,9 @@
     this.proposer = new Proposer(commandLog, { ...PROPOSER_LIMITS, timeoutMs: settings.proposalTimeoutMs });
     this.view = new DocumentView(state.documents, log);
     this.members = createMembership(context, commandLog, this.view, settings.replicas);
-    this.source = new ControlDocumentSource(state.documents, commandLog);
-    this.timeKeeper = new LogTimeAdvancer(state.machine, commandLog, this.proposer, clock, log);
-    this.replicaKeeper = new ReplicaReconciler(this.view, commandLog, clock, log);
+    this.documentSource = new ControlDocumentSource(state.documents, commandLog);
+    this.logTimeAdvancer = new LogTimeAdvancer(state.machine, commandLog, this.proposer, clock, log);
+    this.replicaReconciler = new ReplicaReconciler(this.view, commandLog, clock, log);
     this.targets = new TargetBook(clock, log, settings.targetHeartbeatMs);
     this.loads = new RecentReports(clock);
     this.work = new RecentReports(clock);
@@ -101,11 +101,11 @@
     this.follow = this.createFollow();
     this.configurations = new ConfigurationService(state.configuration, this.proposer, clock, log);
     this.unreadableCalls = new ProblemTally(log, controlEvents.unreadableCall);
-    this.source.onChange(() => {
-      this.measure();
-      // Not within the step of the log, which others wait for.
+    this.documentSource.onChange(() => {
+      this.recordMetrics();
+      // Deferred, so that it doesn't delay the log, which is applying an entry.
       setImmediate(() => {
-        this.replicaKeeper.reconcile();
+        this.replicaReconciler.reconcile();
       });
     });
     state.machine.onError((error) => {
@@ -154,7 +154,7 @@
       report: (requests, call) => follow.report(requests, call),
     });
     serveDirectory(router, {
-      documents: this.source,
+      documents: this.documentSource,
       instances: this.members,
       beats: this.members,
       clock,
@@ -164,17 +164,17 @@
 
   async start(address: string): Promise<void> {
     await this.commandLog.start(address);
-    if (this.settings.gossip) this.members.start(() => this.self(address));
+    if (this.settings.gossip) this.members.start(() => this.ownInstance(address));
     runLasting('targets', this.targets.run());
     this.stores?.start();
-    if (this.commandLog instanceof DisklessLog) this.refer(address);
+    if (this.commandLog instanceof DisklessLog) this.startReferral(address);
     if (this.settings.enlists) {
-      runLasting('wish to vote', this.enlist(address));
-      this.followOthers(address);
-      if (this.outside.orders !== undefined) this.startWeights(this.outside.orders);
+      runLasting('voter requests', this.requestVoterRole(address));
+      this.followOtherControls(address);
+      if (this.outside.orders !== undefined) this.startWeightUpdater(this.outside.orders);
     }
-    runLasting('time of the log', this.timeKeeper.run());
-    runLasting('replicas of the document', this.replicaKeeper.run());
+    runLasting('log time', this.logTimeAdvancer.run());
+    runLasting('replica reconciliation', this.replicaReconciler.run());
     this.context.log.event(controlEvents.started, { address });
   }
 
@@ -186,31 +186,31 @@
   }
 
   /**
-   * Whether a target's call may be acknowledged. One that an isolated instance took would be heard by nobody else, so the
-   * target is to call the next instance.
+   * Whether a target's call may be acknowledged. A call to an isolated instance would not reach the others, so it must fail for
+   * the target to call the next instance.
    */
   acknowledges(): boolean {
     return this.readiness().ready;
   }
 
-  /** A call that says it is of the target `source`, or a part of it, can't be read: that names no target to use. */
+  /** Counts and logs calls, or parts of calls, that can't be read; `source` is the target that the caller claims to be. */
   unreadable(source: string, { problem, count }: Unread): void {
     this.unreadableCalls.note(source, problem, count);
     this.context.metrics.count(controlMetrics.unreadableCalls, count);
   }
 
-  /** Ends the streams of watchers, who move to other instances, and finishes the proposals under way. */
+  /** Ends the streams of watchers, which move to other instances, and finishes the proposals in flight. */
   async drain(): Promise<void> {
     this.draining = true;
     this.context.log.event(controlEvents.draining);
-    this.replicaKeeper.stop();
+    this.replicaReconciler.stop();
     this.ended.abort();
     await this.proposer.idle();
   }
 
   async close(): Promise<void> {
-    this.timeKeeper.stop();
-    this.replicaKeeper.stop();
+    this.logTimeAdvancer.stop();
+    this.replicaReconciler.stop();
     this.targets.stop();
     this.stores?.stop();
     this.follower?.stop();
@@ -221,20 +221,20 @@
     await this.commandLog.close();
   }
 
-  /** Replaces the control instances known from the settings. */
+  /** Replaces the control instances from the settings. */
   reseed(controls: readonly string[]): void {
     this.seeds = controls;
     this.follower?.reseed(controls);
     this.referral?.reseed(controls);
   }
 
-  /** Where callers of an instance that holds no log are to go, host:port; undefined: this one answers them itself. */
+  /** Address to redirect callers to, host:port, on an instance without a log; undefined: this one answers them itself. */
   referredTo(): string | undefined {
     return this.referral?.address();
   }
 
-  /** Without a disk it can take nothing: callers would come back again and again, and go to the next one late. */
-  private refer(own: string): void {
+  /** Without a disk every call fails; a redirect spares callers the retries before they move to another instance. */
+  private startReferral(own: string): void {
     const { name, peers, clock, log } = this.context;
     this.referral = new Referral({ name, controls: this.seeds, own, peers, clock, log });
     this.referral.start();
@@ -257,12 +257,12 @@
       log,
       ended: this.ended.signal,
     });
-    stores?.onChange(follow.raise);
+    stores?.onChange(follow.notify);
     return follow;
   }
 
-  /** Brings weights to targets that no process beside them reports of. */
-  private startWeights(orders: RemoteOrders): void {
+  /** Starts updates of weights on targets without a process beside them. */
+  private startWeightUpdater(orders: RemoteOrders): void {
     const { name, incarnation, clock, log } = this.context;
     const { follow, proposer, commandLog, loads } = this;
     const parts = { name, incarnation, follow, proposer, commandLog, loads, orders, clock, log };
@@ -270,23 +270,23 @@
     this.weights.start();
   }
 
-  /** Hears what all other control instances are told, so that whoever follows this one hears it too. */
-  private followOthers(own: string): void {
+  /** Follows all other control instances, so that followers of this one receive their reports too. */
+  private followOtherControls(own: string): void {
     const { name, peers, clock, log } = this.context;
     const parts = { name, role: 'control', listener: this.others, peers, clock, log } as const;
-    const wantsBulk = (): boolean => this.follow.tellsEntries();
-    const most = Number.POSITIVE_INFINITY;
-    this.follower = new Follower({ ...parts, controls: this.seeds, maxFollowed: most, own, wantsBulk });
+    const wantsBulk = (): boolean => this.follow.hasEntryStreams();
+    const maxFollowed = Number.POSITIVE_INFINITY;
+    this.follower = new Follower({ ...parts, controls: this.seeds, maxFollowed, own, wantsBulk });
     this.follower.start();
   }
 
-  private enlist(address: string): Promise<void> {
+  private requestVoterRole(address: string): Promise<void> {
     const { name, peers, clock, log } = this.context;
     const { commandLog } = this;
     const known = (): readonly string[] => [
       ...new Set([...this.seeds, ...commandLog.members().map((member) => member.address)]),
     ];
-    return enlist({ name, address, known, commandLog, peers, clock, log }, this.ended.signal);
+    return requestVoterRole({ name, address, known, commandLog, peers, clock, log }, this.ended.signal);
   }
 
   private leaderAddress(): string {
@@ -294,13 +294,13 @@
     return this.members.current().get(leader)?.address ?? '';
   }
 
-  /** This instance as it appears in the list of instances. */
-  private self(address: string): InstanceMessage {
+  /** The entry of this instance in the list of instances. */
+  private ownInstance(address: string): InstanceMessage {
     const { name, incarnation, dataCentre } = this.context;
     const { Health, Role, InstanceSchema } = controlMessage;
     const health = this.draining ? Health.LEAVING : Health.ALIVE;
     const sequence = this.draining ? 2n : 1n;
-    const revision = this.source.revision();
+    const revision = this.documentSource.revision();
     const role = Role.CONTROL;
     return create(InstanceSchema, {
       name,
@@ -314,10 +314,10 @@
     });
   }
 
-  private measure(): void {
+  private recordMetrics(): void {
     const { metrics } = this.context;
-    metrics.gauge(controlMetrics.revision, Number(this.source.revision()));
-    metrics.gauge(controlMetrics.vouched, this.source.vouched() ? 1 : 0);
+    metrics.gauge(controlMetrics.revision, Number(this.documentSource.revision()));
+    metrics.gauge(controlMetrics.vouched, this.documentSource.vouched() ? 1 : 0);
     metrics.gauge(controlMetrics.claimsHeld, this.state.claims.size());
   }
 }
--- /dev/null
+++ b/packages/control/src/targets/targetRegistry.spec.ts
@@ -0,0 +1,158 @@
+import { create } from '@bufbuild/protobuf';
+import { ManualClock, silentLog } from '@jasmineroute/core';
+import { controlMessage } from '@jasmineroute/protocol';
+import { beforeEach, describe, expect, it } from 'vitest';
+import { TargetBook } from './targetRegistry.js';
+import type { Heartbeat } from './targetRegistry.js';
+
+const HEARTBEAT_MS = 1_000;
+const { Announcement } = controlMessage;
+
+const heartbeat = (sequence: number, change: Partial<Heartbeat> = {}): Heartbeat => ({
+  name: 't1',
+  service: 's',
+  address: '10.0.0.1:80',
+  dataCentre: 'here',
+  capacity: 4,
+  draining: false,
+  sequence,
+  coldMs: 0,
+  weights: [{ model: 'm', version: 1 }],
+  ...change,
+});
+
+describe('the target registry', () => {
+  let clock: ManualClock;
+  let registry: TargetBook;
+
+  beforeEach(() => {
+    clock = new ManualClock();
+    registry = new TargetBook(clock, silentLog, HEARTBEAT_MS);
+  });
+
+  const state = (id = 't1'): controlMessage.Announcement | undefined =>
+    registry.since(0).find((target) => target.id === id)?.announcement;
+
+  const observe = (observation: number, paused: boolean, version = 1): boolean =>
+    registry.observe({
+      targetId: 't1',
+      observation: BigInt(observation),
+      paused,
+      weights: [{ model: 'm', version: BigInt(version), ageMs: 0 }],
+    } as controlMessage.ObserveRequest);
+
+  it('sends followers only changes', () => {
+    registry.beat(heartbeat(1));
+    const position = registry.lastChangeNumber();
+    registry.beat(heartbeat(2));
+    expect(registry.since(position)).toEqual([]);
+    registry.beat(heartbeat(3, { draining: true }));
+    expect(registry.since(position).map(({ announcement }) => announcement)).toEqual([Announcement.DRAINING]);
+  });
+
+  it('ignores a heartbeat that arrives after a newer one', () => {
+    // Guards against new work for a draining target: an older heartbeat is delayed and arrives after the newer one.
+    registry.beat(heartbeat(5, { draining: true }));
+    registry.beat(heartbeat(4));
+    expect(state()).toBe(Announcement.DRAINING);
+  });
+
+  it('keeps a leave, also of an unknown target', () => {
+    registry.leave({ name: 't1' });
+    registry.beat(heartbeat(9));
+    expect(state()).toBe(Announcement.LEFT);
+  });
+
+  it('accepts a target that restarts under its id, and ends the previous start', () => {
+    // Guards against a target that gets no work for minutes after a crash: it restarts under its id with heartbeat 1, and its
+    // heartbeats count as late ones of the previous start, or as those of a target that left.
+    registry.beat(heartbeat(40, { born: 1_000 }));
+    registry.beat(heartbeat(1, { born: 2_000 }));
+    expect(state('t1/1000')).toBe(Announcement.LEFT);
+    expect(state('t1/2000')).toBe(Announcement.READY);
+    registry.leave({ name: 't1', born: 2_000 });
+    registry.beat(heartbeat(1, { born: 3_000 }));
+    expect(state('t1/2000')).toBe(Announcement.LEFT);
+    expect(state('t1/3000')).toBe(Announcement.READY);
+  });
+
+  it('ignores late calls of an older start', async () => {
+    // Guards against no work for a target that has just started, or work for a dead one: a delayed heartbeat or leave of the
+    // previous start arrives after those of the new start.
+    registry.beat(heartbeat(40, { born: 1_000 }));
+    registry.beat(heartbeat(1, { born: 2_000 }));
+    const position = registry.lastChangeNumber();
+    registry.beat(heartbeat(41, { born: 1_000 }));
+    registry.beat(heartbeat(42));
+    registry.leave({ name: 't1', born: 1_000 });
+    registry.leave({ name: 't1' });
+    expect(registry.since(position)).toEqual([]);
+    expect(state('t1/2000')).toBe(Announcement.READY);
+    await clock.advance(5_000);
+    registry.beat(heartbeat(5, { born: 2_000 }));
+    registry.leave({ name: 't1' });
+    expect(state('t1/2000')).toBe(Announcement.LEFT);
+  });
+
+  it('attributes a leave without a start to the only known start, however new', () => {
+    registry.beat(heartbeat(1, { born: 1_000 }));
+    registry.leave({ name: 't1' });
+    expect(state('t1/1000')).toBe(Announcement.LEFT);
+  });
+
+  it('treats an announcement by the process beside a target as older than all calls of the target', () => {
+    const announced = create(controlMessage.AnnouncedTargetSchema, {
+      name: 't1',
+      service: 's',
+      address: '10.0.0.1:80',
+      capacity: 4,
+    });
+    registry.announce(announced);
+    expect(state()).toBe(Announcement.READY);
+    registry.beat(heartbeat(1, { draining: true }));
+    registry.announce(announced);
+    expect(state()).toBe(Announcement.DRAINING);
+    registry.leave({ name: 't1' });
+    registry.announce(announced);
+    expect(state()).toBe(Announcement.LEFT);
+  });
+
+  it('marks a target without heartbeats for three intervals as silent, until its next heartbeat', async () => {
+    registry.beat(heartbeat(1));
+    await clock.advance(3 * HEARTBEAT_MS);
+    registry.checkExpiry();
+    expect(state()).toBe(Announcement.READY);
+    await clock.advance(1);
+    registry.checkExpiry();
+    expect(state()).toBe(Announcement.SILENT);
+    registry.beat(heartbeat(2));
+    expect(state()).toBe(Announcement.READY);
+  });
+
+  it('keeps the newer weights when a heartbeat predates their load', () => {
+    registry.beat(heartbeat(1));
+    observe(4, false, 2);
+    registry.beat(heartbeat(2));
+    expect(registry.since(0)[0]?.weights.map(({ version }) => version)).toEqual([2n]);
+  });
+
+  it('ends a pause that is not renewed', async () => {
+    // Guards against a target that never gets work again: the process beside it pauses it, and is killed before it ends the
+    // pause.
+    registry.beat(heartbeat(1));
+    observe(4, true);
+    expect(registry.since(0)[0]?.paused).toBe(true);
+    await clock.advance(6_001);
+    registry.beat(heartbeat(2));
+    registry.checkExpiry();
+    expect(registry.since(0)[0]?.paused).toBe(false);
+  });
+
+  it('ignores an observation that arrives after a newer one, and one of an unknown target', () => {
+    expect(observe(1, true)).toBe(false);
+    registry.beat(heartbeat(1));
+    observe(6, false);
+    observe(5, true);
+    expect(registry.since(0)[0]?.paused).toBe(false);
+  });
+});
--- /dev/null
+++ b/packages/control/src/targets/targetRegistry.ts
@@ -0,0 +1,283 @@
+/** Targets that announced themselves to this control instance. */
+import { create } from '@bufbuild/protobuf';
+import type { Clock, Log } from '@jasmineroute/core';
+import { NewestStarts, controlMessage, startFields, startId, startOf } from '@jasmineroute/protocol';
+import type { TargetStart, Unread } from '@jasmineroute/protocol';
+import { controlEvents } from '../events.js';
+
+/** Heartbeat intervals after which a target counts as silent: one heartbeat may be lost and one late. */
+const MISSED_HEARTBEATS = 3;
+
+/** Time after which a target that left or is silent is removed, milliseconds: longer than a call may be late. */
+const REMOVAL_DELAY_MS = 120_000;
+
+/** Time after which a pause ends unless renewed, milliseconds: the process that requested it is gone. */
+const PAUSE_LIFETIME_MS = 6_000;
+
+/**
+ * Time after the first report on a start of a target during which a leave call without a start is attributed to the previous
+ * start, milliseconds: calls arrive seconds late, and no target is stopped as planned right after its start.
+ */
+const LATE_LEAVE_WINDOW_MS = 5_000;
+
+/** Interval between two checks for expired heartbeats and pauses, milliseconds. */
+const EXPIRY_CHECK_MS = 300;
+
+const { Announcement, AnnouncedTargetSchema } = controlMessage;
+
+/** The content of a heartbeat of a target. */
+export interface Heartbeat extends TargetStart {
+  readonly service: string;
+  readonly address: string;
+  readonly dataCentre: string;
+  readonly capacity: number;
+  readonly draining: boolean;
+  /** Grows with each heartbeat of the same start of the target. */
+  readonly sequence: number;
+  readonly coldMs: number;
+  readonly weights: readonly { readonly model: string; readonly version: number }[];
+  /** Models in its list that could not be read; absent: none. */
+  readonly unread?: Unread;
+}
+
+interface TargetRecord {
+  readonly target: controlMessage.AnnouncedTarget;
+  readonly lastHeartbeatAt: number;
+  readonly firstHeartbeatAt: number;
+  /** Time of the last observation; absent: none. */
+  readonly observedAt?: number;
+  /** Number of the last change that is sent to followers. */
+  readonly changeNumber: number;
+}
+
+/** A target's state without the fields that change with each heartbeat, for comparison. */
+function comparableState(target: controlMessage.AnnouncedTarget): string {
+  const { service, address, announcement, capacity, weights, paused } = target;
+  const versions = weights.map(({ model, version }) => `${model}@${version}`);
+  return [service, address, announcement, capacity, paused, ...versions].join(' ');
+}
+
+/**
+ * Targets that were reported to this instance. Each control instance keeps its own list and followers merge all of them, so a
+ * heartbeat may go to any instance, and none waits for a quorum.
+ */
+export class TargetBook {
+  private readonly entries = new Map<string, TargetRecord>();
+  private readonly newestStarts = new NewestStarts();
+  private readonly listeners = new Set<() => void>();
+  private changeNumber = 0;
+  private readonly ended = new AbortController();
+
+  constructor(
+    private readonly clock: Clock,
+    private readonly log: Log,
+    private readonly heartbeatMs: number,
+  ) {}
+
+  /** Number of the newest change. */
+  lastChangeNumber(): number {
+    return this.changeNumber;
+  }
+
+  /** Targets that changed after a change number; 0 gives all. */
+  since(changeNumber: number): controlMessage.AnnouncedTarget[] {
+    return [...this.entries.values()]
+      .filter((entry) => entry.changeNumber > changeNumber)
+      .map(({ target }) => target);
+  }
+
+  /** Calls back after each change. @returns a function that unsubscribes. */
+  onChange(listener: () => void): () => void {
+    this.listeners.add(listener);
+    return () => this.listeners.delete(listener);
+  }
+
+  /**
+   * Applies a heartbeat. One that arrives after a newer heartbeat, the target's leave or a newer start of the target changes
+   * nothing.
+   */
+  beat(heartbeat: Heartbeat): void {
+    if (this.isOld(heartbeat)) return;
+    const known = this.entries.get(startId(heartbeat));
+    const { sequence } = heartbeat;
+    if (known !== undefined && this.isStale(known.target, sequence)) return;
+    this.put(targetOf(heartbeat, known?.target));
+  }
+
+  /**
+   * Applies an announcement by the process beside a target. It counts as a heartbeat before all of the target's own, so it
+   * never reverts a call of the target.
+   */
+  announce(announced: controlMessage.AnnouncedTarget): void {
+    const { service, address, dataCentre, capacity, weights } = announced;
+    const versions = weights.map(({ model, version }) => ({ model, version: Number(version) }));
+    const fields = { service, address, dataCentre, capacity, weights: versions };
+    this.beat({ ...startOf(announced), ...fields, draining: false, sequence: 0, coldMs: 0 });
+  }
+
+  /** Adds a target that is known only from another instance, so that observations of it can be stored here. */
+  adopt(target: controlMessage.AnnouncedTarget): void {
+    if (this.entries.has(target.id) || this.isOld(startOf(target))) return;
+    this.put({ ...target, announcement: Announcement.SILENT });
+  }
+
+  /** Applies an observation by the process beside a target. @returns whether the target is known here. */
+  observe({ targetId, observation, paused, weights }: controlMessage.ObserveRequest): boolean {
+    const known = this.entries.get(targetId);
+    if (known === undefined) return false;
+    const { target, lastHeartbeatAt } = known;
+    if (observation < target.observation) return true;
+    const newest = newerWeights(target.weights, weights);
+    this.put({ ...target, paused, observation, weights: newest }, lastHeartbeatAt, this.clock.monotonic());
+    return true;
+  }
+
+  /**
+   * Applies a target's leave call, also for an unknown target. A call without a start means the newest start, unless that is so
+   * new that the call must be a late one of the previous start.
+   */
+  leave(left: TargetStart): void {
+    const start = left.born === undefined ? (this.newestStarts.of(left.name) ?? left) : left;
+    if (this.isOld(start)) return;
+    const id = startId(start);
+    const known = this.entries.get(id);
+    if (left.born !== start.born && known !== undefined && this.isLateLeave(known)) return;
+    if (known?.target.announcement === Announcement.LEFT) return;
+    const base = known?.target ?? emptyTarget(start);
+    this.put({ ...base, announcement: Announcement.LEFT });
+  }
+
+  /** Checks for expired heartbeats and pauses until `stop`. */
+  async run(): Promise<void> {
+    const { signal } = this.ended;
+    while (!signal.aborted) {
+      this.checkExpiry();
+      await this.clock.sleep(EXPIRY_CHECK_MS, signal).catch(() => undefined);
+    }
+  }
+
+  stop(): void {
+    this.ended.abort();
+  }
+
+  /** Marks silent targets, ends expired pauses, and removes targets that are long gone. */
+  checkExpiry(): void {
+    const now = this.clock.monotonic();
+    for (const { target, lastHeartbeatAt, observedAt = now } of [...this.entries.values()]) {
+      const silentMs = now - lastHeartbeatAt;
+      if (target.paused && now - observedAt > PAUSE_LIFETIME_MS) {
+        this.put({ ...target, paused: false }, lastHeartbeatAt);
+        continue;
+      }
+      if (silentMs > REMOVAL_DELAY_MS) this.remove(target);
+      else if (this.isSilent(target, silentMs))
+        this.put({ ...target, announcement: Announcement.SILENT }, lastHeartbeatAt);
+    }
+  }
+
+  private isSilent({ announcement }: controlMessage.AnnouncedTarget, silentMs: number): boolean {
+    const isActive = announcement === Announcement.READY || announcement === Announcement.DRAINING;
+    return isActive && silentMs > MISSED_HEARTBEATS * this.heartbeatMs;
+  }
+
+  private remove(target: controlMessage.AnnouncedTarget): void {
+    this.entries.delete(target.id);
+    this.newestStarts.forget(startOf(target));
+  }
+
+  /** Whether a newer start is known. A new start ends the previous one, which then counts as left. */
+  private isOld(start: TargetStart): boolean {
+    const { isOld, ended } = this.newestStarts.hear(start);
+    const previous = ended === undefined ? undefined : this.entries.get(startId(ended))?.target;
+    if (previous !== undefined && previous.announcement !== Announcement.LEFT) {
+      this.put({ ...previous, announcement: Announcement.LEFT });
+    }
+    return isOld;
+  }
+
+  /** Whether a leave without a start comes too early for the newest start, and an older start is known. */
+  private isLateLeave({ target, firstHeartbeatAt }: TargetRecord): boolean {
+    const hasOlder = [...this.entries.values()].some(
+      (other) => other.target.name === target.name && other.target.id !== target.id,
+    );
+    return hasOlder && this.clock.monotonic() - firstHeartbeatAt < LATE_LEAVE_WINDOW_MS;
+  }
+
+  /** Whether a heartbeat is out of date. A start that left never returns. */
+  private isStale(known: controlMessage.AnnouncedTarget, sequence: number): boolean {
+    return known.announcement === Announcement.LEFT || known.sequence >= BigInt(sequence);
+  }
+
+  private put(
+    target: controlMessage.AnnouncedTarget,
+    lastHeartbeatAt = this.clock.monotonic(),
+    observedAt = this.entries.get(target.id)?.observedAt,
+  ): void {
+    const known = this.entries.get(target.id);
+    const isChanged = known === undefined || comparableState(known.target) !== comparableState(target);
+    if (isChanged) this.changeNumber += 1;
+    const changeNumber = isChanged ? this.changeNumber : known.changeNumber;
+    const firstHeartbeatAt = known?.firstHeartbeatAt ?? lastHeartbeatAt;
+    this.entries.set(target.id, {
+      target,
+      lastHeartbeatAt,
+      firstHeartbeatAt,
+      observedAt,
+      changeNumber,
+    });
+    if (!isChanged) return;
+    this.log.event(controlEvents.targetAnnounced, {
+      target: target.id,
+      service: target.service,
+      address: target.address,
+      state: Announcement[target.announcement],
+      before: known === undefined ? undefined : Announcement[known.target.announcement],
+      paused: target.paused,
+      weights: target.weights.map(({ model, version }) => `${model}@${version}`),
+      sequence: Number(target.sequence),
+    });
+    for (const listener of this.listeners) listener();
+  }
+}
+
+/** The newer version for each model: weight versions only grow, and a heartbeat may be older than an observation. */
+function newerWeights(
+  some: readonly controlMessage.NamedWeights[],
+  others: readonly controlMessage.NamedWeights[],
+): controlMessage.NamedWeights[] {
+  const newest = new Map<string, controlMessage.NamedWeights>();
+  for (const weights of [...some, ...others]) {
+    const known = newest.get(weights.model);
+    if (known === undefined || known.version < weights.version) newest.set(weights.model, weights);
+  }
+  return [...newest.values()];
+}
+
+/** A target of which only the start is known. */
+function emptyTarget(start: TargetStart): controlMessage.AnnouncedTarget {
+  return create(AnnouncedTargetSchema, { id: startId(start), ...startFields(start) });
+}
+
+function targetOf(
+  heartbeat: Heartbeat,
+  known?: controlMessage.AnnouncedTarget,
+): controlMessage.AnnouncedTarget {
+  const { service, address, dataCentre, capacity, draining, sequence, coldMs, weights } = heartbeat;
+  const versions = weights.map(({ model, version }) =>
+    create(controlMessage.NamedWeightsSchema, { model, version: BigInt(version) }),
+  );
+  return create(AnnouncedTargetSchema, {
+    service,
+    address,
+    dataCentre,
+    capacity,
+    coldMs,
+    id: startId(heartbeat),
+    ...startFields(heartbeat),
+    announcement: draining ? Announcement.DRAINING : Announcement.READY,
+    sequence: BigInt(sequence),
+    weights: newerWeights(known?.weights ?? [], versions),
+    paused: known?.paused,
+    observation: known?.observation,
+  });
+}
