--- a/packages/directory/src/client/directoryClient.ts
+++ b/packages/directory/src/client/directoryClient.ts
@@ -12,14 +12,14 @@
 import type { Role, View } from '../view/index.js';
 import { AnnouncedState } from './announcement.js';
 import type { Announcement } from './announcement.js';
-import { BeatTask } from './beatTask.js';
+import { BeatTask } from './heartbeatTask.js';
 import { EventApplier } from './eventApplier.js';
-import { KeptState } from './keptState.js';
+import { KeptState } from './persistedView.js';
 import { KnownAddresses } from './knownAddresses.js';
 import { defaultTiming } from './timing.js';
 import type { ClientTiming } from './timing.js';
 import { ViewBuilder } from './viewBuilder.js';
-import { ViewKeeper } from './viewKeeper.js';
+import { ViewKeeper } from './viewPersistence.js';
 import type { WatchedSource } from './watchStream.js';
 import { WatchTask } from './watchTask.js';
 
--- a/packages/directory/src/client/knownAddresses.ts
+++ b/packages/directory/src/client/knownAddresses.ts
@@ -2,7 +2,7 @@
 import type { ControlAddresses } from '../call/index.js';
 import { CONTROL_SERVICE } from '../message/index.js';
 import type { View } from '../view/index.js';
-import type { KeptAddresses } from './keptState.js';
+import type { KeptAddresses } from './persistedView.js';
 
 /** Neighbours that are kept in a file. */
 const KEPT_NEIGHBOURS = 32;
--- a/packages/directory/src/client/keptState.ts
+++ b/packages/directory/src/client/persistedView.ts
@@ -8,7 +8,7 @@
 import { controlMessage } from '@jasmineroute/protocol';
 import { documentToMessage, instanceToMessage } from '../message/index.js';
 import type { View } from '../view/index.js';
-import { readKept, writeKept } from './keptFile.js';
+import { readKept, writeKept } from './stateFile.js';
 
 /** Documents and addresses; written before new documents are in force. */
 const DOCUMENTS_FILE = 'directory-documents.kept';
--- a/packages/directory/src/client/viewKeeper.ts
+++ b/packages/directory/src/client/viewPersistence.ts
@@ -4,7 +4,7 @@
 import { directoryEvents } from '../events.js';
 import { documentFromMessage, instanceFromMessage } from '../message/index.js';
 import type { View } from '../view/index.js';
-import type { KeptAddresses, KeptState } from './keptState.js';
+import type { KeptAddresses, KeptState } from './persistedView.js';
 import type { ViewBuilder } from './viewBuilder.js';
 
 /** Shortest time between two writings of instances, in milliseconds. */
--- a/packages/directory/src/server/serveDirectory.ts
+++ b/packages/directory/src/server/serveDirectory.ts
@@ -7,8 +7,8 @@
 import { InstanceFeed } from './instanceFeed.js';
 import { Semaphore } from './semaphore.js';
 import type { DirectorySource } from './source.js';
-import { WatcherStream } from './watch.js';
-import type { WatchHub } from './watch.js';
+import { WatcherStream } from './watcherStream.js';
+import type { WatchHub } from './watcherStream.js';
 
 /** Streams that are brought up to date at one time. */
 const COMPARISONS = 8;
--- a/packages/directory/src/server/watch.spec.ts
+++ b/packages/directory/src/server/watcherStream.spec.ts
@@ -7,7 +7,7 @@
 import { DocumentFeed } from './documentFeed.js';
 import { InstanceFeed } from './instanceFeed.js';
 import { Semaphore } from './semaphore.js';
-import { WatcherStream } from './watch.js';
+import { WatcherStream } from './watcherStream.js';
 
 type WatchEvent = controlMessage.WatchEvent;
 
--- a/scripts/guards/list.mjs
+++ b/scripts/guards/list.mjs
@@ -78,7 +78,7 @@
   },
   {
     name: 'kept file of documents and instances',
-    file: 'packages/directory/src/client/keptFile.ts',
+    file: 'packages/directory/src/client/stateFile.ts',
     find: '  let bytes: Buffer;\n',
     put: "  if (path !== '') return ok(undefined);\n  let bytes: Buffer;\n",
     spec: 'packages/proof/src/restart',
