--- a/packages/directory/src/client/directoryClient.spec.ts
+++ b/packages/directory/src/client/directoryClient.spec.ts
@@ -102,7 +102,7 @@
     await until(() => {
       expect(entry.view()).toMatchObject({ revision: 2n, vouched: true });
     });
-    expect(log.seen).toContain(directoryEvents.watchUnvouched);
+    expect(log.seen).toContain(directoryEvents.watchWithoutQuorum);
   });
 
   it('never goes back to an older document, whatever a source says', async () => {
@@ -247,7 +247,7 @@
     const names = ['a1', 'a2', 'a3'];
     for (const name of names) await scene.client([c1.address, link.address], { name, role: 'agent' });
     await until(() => {
-      expect([...c1.membership.heardHere()]).toEqual(expect.arrayContaining(names));
+      expect([...c1.membership.directMembers()]).toEqual(expect.arrayContaining(names));
       for (const name of names) expect(entry.view().instances.get(name)?.health).toBe('alive');
     });
     await link.admit();
@@ -258,7 +258,7 @@
     await c1.stop();
     await until(() => {
       for (const name of names) expect(c2.membership.current().get(name)?.health).toBe('alive');
-      expect([...c2.membership.heardHere()]).toEqual(expect.arrayContaining(names));
+      expect([...c2.membership.directMembers()]).toEqual(expect.arrayContaining(names));
     });
     expect([...seen].filter((health) => health !== 'alive')).toEqual([]);
   });
--- a/packages/directory/src/client/directoryClient.ts
+++ b/packages/directory/src/client/directoryClient.ts
@@ -136,7 +136,7 @@
     );
     const wasHeard = await Promise.race([heard, late]);
     done.abort();
-    log.event(wasHeard ? directoryEvents.leaveHeard : directoryEvents.leaveUnheard);
+    log.event(wasHeard ? directoryEvents.leaveAcknowledged : directoryEvents.leaveUnacknowledged);
   }
 
   /** Ends the tasks and writes what waits to be kept. */
--- a/packages/directory/src/client/eventApplier.ts
+++ b/packages/directory/src/client/eventApplier.ts
@@ -80,7 +80,7 @@
       const text = message.baseRevision === 0n ? message.text : editedText(message, held);
       if (text === undefined) {
         const { service, revision } = message;
-        this.log.event(directoryEvents.documentRebuilt, { service, revision });
+        this.log.event(directoryEvents.documentEditsRejected, { service, revision });
         return undefined;
       }
       newest.set(message.service, documentFromMessage(message, text));
--- a/packages/directory/src/client/heartbeatTask.ts
+++ b/packages/directory/src/client/heartbeatTask.ts
@@ -140,7 +140,7 @@
 
   private failed(address: string, error: unknown): void {
     const { addresses, metrics, log, peers, timing } = this.context;
-    log.event(directoryEvents.beatFailed, { address, problem: faultOf(error).message });
+    log.event(directoryEvents.heartbeatFailed, { address, problem: faultOf(error).message });
     metrics.count(directoryMetrics.beatFailures);
     addresses.failed(address);
     // A connection on which nothing at all was heard may be silent for good: the next beat takes a new one.
--- a/packages/directory/src/client/restart.spec.ts
+++ b/packages/directory/src/client/restart.spec.ts
@@ -68,7 +68,7 @@
     }
     const log = new EventRecord();
     const restarted = await scene.client(['127.0.0.1:1'], { folder, log, incarnation: 2n });
-    expect(log.seen.filter((kind) => kind === directoryEvents.keptFileIgnored)).toHaveLength(2);
+    expect(log.seen.filter((kind) => kind === directoryEvents.stateFileIgnored)).toHaveLength(2);
     expect(restarted.view().documents.size).toBe(0);
   });
 
--- a/packages/directory/src/client/viewPersistence.ts
+++ b/packages/directory/src/client/viewPersistence.ts
@@ -34,7 +34,7 @@
       builder.put(step.view);
       for (const unreadable of step.unreadable)
         this.log.event(directoryEvents.documentUnreadable, { ...unreadable });
-      this.log.event(directoryEvents.keptFileLoaded, { revision: found.revision });
+      this.log.event(directoryEvents.stateFileLoaded, { revision: found.revision });
     }
     const kept = instances?.state?.instances ?? [];
     builder.applyInstances([{ changed: kept.map(instanceFromMessage), removed: [], buckets: [] }]);
@@ -84,11 +84,11 @@
 
   private usable<T>(result: Result<T | undefined, Fault>): T | undefined {
     if (result.isOk()) return result.value;
-    this.log.event(directoryEvents.keptFileIgnored, { problem: result.error.message });
+    this.log.event(directoryEvents.stateFileIgnored, { problem: result.error.message });
     return undefined;
   }
 
   private failed(problem: string): void {
-    this.log.event(directoryEvents.keptFileFailed, { problem });
+    this.log.event(directoryEvents.stateFileWriteFailed, { problem });
   }
 }
--- a/packages/directory/src/client/watchTask.ts
+++ b/packages/directory/src/client/watchTask.ts
@@ -82,7 +82,7 @@
       log.event(directoryEvents.watchSilent, { address });
       if (kind === 'neighbour' || this.isDead(address)) this.drop(address);
     }
-    if (outcome.end === 'unvouched') log.event(directoryEvents.watchUnvouched, { address });
+    if (outcome.end === 'unvouched') log.event(directoryEvents.watchWithoutQuorum, { address });
     return outcome;
   }
 
--- a/packages/directory/src/index.ts
+++ b/packages/directory/src/index.ts
@@ -1,4 +1,4 @@
-/** What a process knows of documents, targets and instances, and how it learns it. */
+/** Distribution of documents, targets and instances to all processes, and membership of instances. */
 export * from './call/index.js';
 export * from './client/index.js';
 export * from './events.js';
--- a/packages/directory/src/membership/exchange.ts
+++ b/packages/directory/src/membership/exchange.ts
@@ -1,4 +1,4 @@
-/** What control instances tell each other of members: between messages and the detector. */
+/** Converts member reports between gossip messages and the failure detector. */
 import { create } from '@bufbuild/protobuf';
 import type { Cause, Digest, FailureDetector, MemberReport } from '@jasmineroute/coordination';
 import { controlMessage } from '@jasmineroute/protocol';
@@ -19,7 +19,7 @@
   return causes.includes(text) ? (text as Cause) : 'silent';
 }
 
-/** A digest as a message. */
+/** Converts a digest to an exchange request. */
 export function digestToMessage(
   from: { readonly name: string; readonly incarnation: bigint },
   digest: Digest,
@@ -53,8 +53,8 @@
   });
 }
 
-/** Takes a digest out of a message. Returns the names that it told of. */
-export function takeExchange(
+/** Passes the reports of an exchange to the detector and the store. Returns the reported names. */
+export function applyExchange(
   request: controlMessage.ExchangeRequest,
   detector: FailureDetector,
   store: InstanceStore,
@@ -65,7 +65,7 @@
   for (const heard of request.heard) {
     const { instance } = heard;
     if (instance === undefined) continue;
-    if (instance.address !== '') store.take(instance);
+    if (instance.address !== '') store.update(instance);
     detector.report({
       name: instance.name,
       incarnation: instance.incarnation,
--- a/packages/directory/src/membership/exchangeTask.ts
+++ b/packages/directory/src/membership/exchangeTask.ts
@@ -1,4 +1,4 @@
-/** The task that tells one other control instance what changed here. */
+/** Sends member changes to one other control instance. */
 import { createClient } from '@connectrpc/connect';
 import type { FailureDetector } from '@jasmineroute/coordination';
 import type { Clock, Log } from '@jasmineroute/core';
@@ -10,14 +10,14 @@
 import { digestToMessage } from './exchange.js';
 import type { InstanceStore } from './instanceStore.js';
 
-/** Time between exchanges when nothing changes, in milliseconds; each tells that the sender lives. */
-const EXCHANGE_MS = 300;
-/** Changes within this time go out together, in milliseconds. */
+/** Interval between exchanges without changes, in milliseconds. Each also shows that the sender is alive. */
+const EXCHANGE_INTERVAL_MS = 300;
+/** Changes within this time are sent together, in milliseconds. */
 const COALESCE_MS = 20;
-/** How long one exchange may take, in milliseconds. */
-const TIMEOUT_MS = 1_000;
-/** Exchanges without an answer after which the connection is taken for silent. */
-const SILENT_EXCHANGES = 2;
+/** Timeout of one exchange, in milliseconds. */
+const EXCHANGE_TIMEOUT_MS = 1_000;
+/** Consecutive failed exchanges after which the connection is closed and opened again. */
+const FAILURES_BEFORE_RECONNECT = 2;
 
 /** Another control instance. */
 export interface ControlPeer {
@@ -26,7 +26,7 @@
   readonly address: string;
 }
 
-/** What the task works with. */
+/** Dependencies of the exchange task. */
 export interface ExchangeContext {
   readonly self: { readonly name: string; readonly incarnation: bigint };
   readonly detector: FailureDetector;
@@ -37,7 +37,7 @@
   readonly log: Log;
 }
 
-/** Sends exchanges to one peer until `signal` is aborted. Each holds what changed since the last one taken. */
+/** Sends exchanges to one peer until `signal` is aborted. Each holds the changes since the last acknowledged one. */
 export async function runExchange(
   context: ExchangeContext,
   peer: ControlPeer,
@@ -54,14 +54,14 @@
       since = taken;
     } else {
       failures += 1;
-      if (failures % SILENT_EXCHANGES === 0) peers.drop(peer.address);
+      if (failures % FAILURES_BEFORE_RECONNECT === 0) peers.drop(peer.address);
     }
-    await changed.wait(clock, EXCHANGE_MS, signal);
+    await changed.wait(clock, EXCHANGE_INTERVAL_MS, signal);
     await clock.sleep(COALESCE_MS, signal).catch(() => undefined);
   }
 }
 
-/** @returns the place up to which the peer knows all; undefined when it did not answer. */
+/** @returns the sequence number up to which the peer has all changes; undefined if it did not answer. */
 async function exchangeOnce(
   context: ExchangeContext,
   peer: ControlPeer,
@@ -70,7 +70,7 @@
 ): Promise<bigint | undefined> {
   const { detector, store, self, clock, peers, log } = context;
   const digest = detector.digest(since, peer.name);
-  const limit = new CallLimit(stop).after(clock, TIMEOUT_MS);
+  const limit = new CallLimit(stop).after(clock, EXCHANGE_TIMEOUT_MS);
   try {
     const client = createClient(controlMessage.Gossip, peers.transport(peer.address));
     const answer = await client.exchange(digestToMessage(self, digest, store), { signal: limit.signal });
--- a/packages/directory/src/membership/index.ts
+++ b/packages/directory/src/membership/index.ts
@@ -1,4 +1,4 @@
-/** Control instances: who is there, and in what state. */
+/** Membership of instances, as tracked by control instances. */
 export type { ControlPeer } from './exchangeTask.js';
 export * from './membership.js';
 export * from './probe.js';
--- a/packages/directory/src/membership/instanceStore.ts
+++ b/packages/directory/src/membership/instanceStore.ts
@@ -1,31 +1,31 @@
-/** What instances announced, put together with what the detector tells of them. */
+/** Combines the announced state of instances with their health from the failure detector. */
 import type { FailureDetector } from '@jasmineroute/coordination';
 import { instanceFromMessage } from '../message/index.js';
 import type { InstanceMessage } from '../message/index.js';
 import type { Health, Instance } from '../view/index.js';
 
-/** An announced state. */
+/** The newest state announced by an instance. */
 interface AnnouncedInstance {
   readonly message: InstanceMessage;
-  /** Revision of the documents in force there, from its newest beat. */
+  /** Revision of the documents applied there, from its newest heartbeat. */
   revision: bigint;
-  /** Health under which it is listed. */
+  /** Health with which it is listed; undefined while it is not listed. */
   health?: Health;
 }
 
-/** The newest announced state of each name, and the list that is served. */
+/** Holds the newest announced state of each name and the list served to watchers. */
 export class InstanceStore {
   private readonly announced = new Map<string, AnnouncedInstance>();
   private readonly listed = new Map<string, Instance>();
 
   constructor(private readonly detector: FailureDetector) {}
 
-  /** Instances by name, with their health. */
+  /** Listed instances by name. */
   current(): ReadonlyMap<string, Instance> {
     return this.listed;
   }
 
-  /** The same with the revision that each last reported. */
+  /** Listed instances with the revision that each last reported. */
   reported(): Instance[] {
     return [...this.listed.values()].map((instance) => ({
       ...instance,
@@ -33,32 +33,32 @@
     }));
   }
 
-  /** The state announced by a name, as it was announced. */
+  /** The unchanged message last announced under a name. */
   message(name: string): InstanceMessage | undefined {
     return this.announced.get(name)?.message;
   }
 
-  /** Whether the state of this incarnation and sequence is known. */
-  knows({ name, incarnation, sequence }: InstanceMessage): boolean {
+  /** Whether the store holds the state of this incarnation and sequence. */
+  hasState({ name, incarnation, sequence }: InstanceMessage): boolean {
     const known = this.announced.get(name)?.message;
     return known?.incarnation === incarnation && known.sequence === sequence;
   }
 
-  /** Takes a state unless a newer one is known. Returns whether it was taken. */
-  take(message: InstanceMessage): boolean {
+  /** Stores a state if it is newer than the stored one. Returns whether it was stored. */
+  update(message: InstanceMessage): boolean {
     const known = this.announced.get(message.name)?.message;
     if (known !== undefined && !isNewer(message, known)) return false;
     this.announced.set(message.name, { message, revision: message.revision });
     return true;
   }
 
-  /** Notes the revision in force at an instance. Not a change to others: it would go to every watcher. */
-  noteRevision(name: string, revision: bigint): void {
+  /** Records the revision applied at an instance. Watchers are not notified, as each revision would reach them all. */
+  setRevision(name: string, revision: bigint): void {
     const known = this.announced.get(name);
     if (known !== undefined) known.revision = revision;
   }
 
-  /** Lists a name anew, or no more when the detector has forgotten it. Returns whether the list changed. */
+  /** Updates the list entry of a name, or removes it if the detector no longer has it. Returns whether it changed. */
   refresh(name: string): boolean {
     const member = this.detector.find(name);
     const known = this.announced.get(name);
--- a/packages/directory/src/membership/membership.spec.ts
+++ b/packages/directory/src/membership/membership.spec.ts
@@ -29,10 +29,9 @@
 }
 
 describe('Membership', () => {
-  it('asks for the whole state when a short beat tells of one that it has not', () => {
-    // Symptom: a target is listed as it was before its engine loaded another model.
-    // Sequence: the change was sent to another control instance, which is gone.
-    // Cause: beats carry changes only.
+  it('asks for the full state when a short heartbeat refers to one that it does not have', () => {
+    // A target must not stay listed with the model that its engine had before. Heartbeats carry the state only when
+    // it changes, and the change may have gone to another control instance that is gone.
     const { membership, beat } = setUp();
     expect(beat(instance('a1'), false).resend).toBe(true);
     expect(membership.current().size).toBe(0);
@@ -42,14 +41,14 @@
     expect(membership.current().get('a1')?.health).toBe('alive');
   });
 
-  it('answers an older process that it is superseded, and keeps what the newer one said', () => {
+  it('tells an older process that it is superseded, and keeps the state of the newer one', () => {
     const { membership, beat } = setUp();
     beat(instance('a1', { incarnation: 2n, address: '127.0.0.1:2' }));
     expect(beat(instance('a1', { sequence: 9n })).superseded).toBe(true);
     expect(membership.current().get('a1')).toMatchObject({ incarnation: 2n, address: '127.0.0.1:2' });
   });
 
-  it('tells of a changed state at once, and not of a changed revision', () => {
+  it('notifies listeners of a changed state at once, but not of a changed revision', () => {
     const { membership, beat } = setUp();
     const told: string[] = [];
     membership.onChange((names) => told.push(...names));
@@ -64,10 +63,9 @@
     expect(membership.current().get('a1')?.health).toBe('leaving');
   });
 
-  it('lists a crashed process as down in under 2.5 s, and a stopped one as suspect', async () => {
-    // Symptom: requests wait on a dead target, or a target that was stopped for 3 s loses all its cached work.
-    // Sequence: one process is killed, one is stopped; both fall silent.
-    // Cause: only a try to connect tells them apart.
+  it('lists a crashed process as down in under 2.5 s, and a paused one as suspect', async () => {
+    // Requests must not wait for a dead target, and a target paused for 3 s must not lose all its cached work. Both
+    // stop sending heartbeats; only a connection attempt distinguishes them.
     const probe: Probe = (address) => Promise.resolve(address.endsWith(':1') ? 'refused' : 'accepted');
     const { clock, membership, beat } = setUp(probe);
     membership.start(() => instance('c1', { role: controlMessage.Role.CONTROL }));
--- a/packages/directory/src/membership/membership.ts
+++ b/packages/directory/src/membership/membership.ts
@@ -1,4 +1,4 @@
-/** What a control instance knows of all instances: beats heard here, and what other control instances tell. */
+/** Tracks all instances from heartbeats received here and reports of other control instances. */
 import { create } from '@bufbuild/protobuf';
 import { Code, ConnectError } from '@connectrpc/connect';
 import type { ConnectRouter } from '@connectrpc/connect';
@@ -12,19 +12,19 @@
 import { ChangeSignal } from '../server/changeSignal.js';
 import type { BeatReceiver, InstanceSource } from '../server/source.js';
 import type { Instance } from '../view/index.js';
-import { takeExchange } from './exchange.js';
+import { applyExchange } from './exchange.js';
 import { runExchange } from './exchangeTask.js';
 import type { ControlPeer } from './exchangeTask.js';
 import { InstanceStore } from './instanceStore.js';
 import { tcpProbe } from './probe.js';
 import type { Probe } from './probe.js';
 
-/** Instances that are listed at most: three times the largest plan. A flood of made-up names ends here. */
+/** Maximum number of listed instances: three times the largest planned size. Bounds a flood of invalid names. */
 const MAX_INSTANCES = 16_384;
-/** Suspects that are tried at one time. */
+/** Maximum number of concurrent probes of suspects. */
 const MAX_PROBES = 64;
 
-/** What the membership needs. */
+/** Dependencies and settings of the membership. */
 export interface MembershipOptions {
   /** Name of this control instance. */
   readonly name: string;
@@ -37,20 +37,20 @@
   readonly log: Log;
   /** Whether this process is in touch with a quorum. */
   readonly vouched: () => boolean;
-  /** The control instances now; this one may be among them. Asked for at each tick. */
+  /** Current control instances, read at each tick. May include this one. */
   readonly controls: () => readonly ControlPeer[];
-  /** Tries a suspect; absent: over TCP. */
+  /** Probes a suspect. Default: a TCP connection. */
   readonly probe?: Probe;
 }
 
-/** A running task for one peer. */
+/** The running exchange task of one peer. */
 interface PeerTask {
   readonly address: string;
   readonly stop: AbortController;
   readonly done: Promise<void>;
 }
 
-/** Takes beats, judges the silent, and exchanges both with the other control instances. */
+/** Receives heartbeats, detects failures and exchanges reports with the other control instances. */
 export class Membership implements InstanceSource, BeatReceiver {
   private readonly store: InstanceStore;
   private readonly changed = new ChangeSignal();
@@ -59,8 +59,8 @@
   private readonly tasks = new Map<string, PeerTask>();
   private readonly probing = new Set<string>();
   private readonly probe: Probe;
-  /** Of each sender: its incarnation, and up to where all it told was taken. */
-  private readonly takenUpTo = new Map<string, { incarnation: bigint; upTo: bigint }>();
+  /** By sender: its incarnation and the sequence number up to which all its changes were received. */
+  private readonly receivedUpTo = new Map<string, { incarnation: bigint; upTo: bigint }>();
   private ticking: Promise<void> = Promise.resolve();
 
   constructor(private readonly options: MembershipOptions) {
@@ -68,18 +68,18 @@
     this.probe = options.probe ?? tcpProbe(options.clock);
   }
 
-  /** Adds the exchange between control instances to the process's RPC server. */
+  /** Registers the gossip service on the process's RPC server. */
   routes(router: ConnectRouter): void {
     router.service(controlMessage.Gossip, { exchange: (request) => this.exchange(request) });
   }
 
-  /** Starts to judge and to exchange. `self` gives this control instance's own entry in the list. */
+  /** Starts failure detection and exchanges. `self` returns this control instance's own state. */
   start(self: () => InstanceMessage): void {
     this.ticking = this.run(self);
     runLasting('membership', this.ticking);
   }
 
-  /** Ends all tasks. */
+  /** Stops all tasks and waits for them. */
   async stop(): Promise<void> {
     this.stopping.abort(new Error('stopped'));
     for (const task of this.tasks.values()) task.stop.abort(new Error('stopped'));
@@ -90,13 +90,13 @@
     return this.store.current();
   }
 
-  /** Instances with the revision that each last reported, for status. */
+  /** Instances with the revision that each last reported, for status reports. */
   reported(): Instance[] {
     return this.store.reported();
   }
 
-  /** Names whose beats come here. */
-  heardHere(): Set<string> {
+  /** Names of the instances that send their heartbeats to this control instance. */
+  directMembers(): Set<string> {
     const here = [...this.options.detector.all()].filter(
       ({ source }) => source.observer === this.options.name,
     );
@@ -112,38 +112,38 @@
 
   beat(request: controlMessage.BeatRequest): controlMessage.BeatResponse {
     const { instance } = request;
-    if (instance === undefined) throw errorOf(fault('invalid-request', 'a beat names its instance'));
+    if (instance === undefined) throw errorOf(fault('invalid-request', 'heartbeat without an instance'));
     const { detector, vouched } = this.options;
     const known = detector.find(instance.name);
     const answer = create(controlMessage.BeatResponseSchema, { vouched: vouched() });
     if (known !== undefined && known.incarnation > instance.incarnation)
       return { ...answer, superseded: true };
-    if (known === undefined) this.admit();
-    if (!request.full && !this.store.knows(instance)) return { ...answer, resend: true };
-    this.hear(instance, request.full);
+    if (known === undefined) this.checkCapacity();
+    if (!request.full && !this.store.hasState(instance)) return { ...answer, resend: true };
+    this.recordHeartbeat(instance, request.full);
     return answer;
   }
 
-  private admit(): void {
+  private checkCapacity(): void {
     if (this.store.current().size < MAX_INSTANCES) return;
     throw new ConnectError(`more than ${MAX_INSTANCES} instances`, Code.ResourceExhausted);
   }
 
-  private hear(instance: InstanceMessage, full: boolean): void {
+  private recordHeartbeat(instance: InstanceMessage, full: boolean): void {
     const { name, incarnation, sequence, health, revision } = instance;
     const leaving = health === controlMessage.Health.LEAVING;
     this.options.detector.beat({ name, incarnation, sequence, leaving });
-    const news = full && this.store.take(instance);
-    this.store.noteRevision(name, revision);
-    this.publish(this.options.detector.takeTransitions(), news ? [name] : []);
+    const stateChanged = full && this.store.update(instance);
+    this.store.setRevision(name, revision);
+    this.publish(this.options.detector.takeTransitions(), stateChanged ? [name] : []);
   }
 
   private exchange(request: controlMessage.ExchangeRequest): controlMessage.ExchangeResponse {
     const { from, incarnation, since, upTo } = request;
-    const known = this.takenUpTo.get(from);
+    const known = this.receivedUpTo.get(from);
     const gap = since > 0n && (known?.incarnation !== incarnation || known.upTo < since);
-    const names = takeExchange(request, this.options.detector, this.store);
-    if (!gap) this.takenUpTo.set(from, { incarnation, upTo });
+    const names = applyExchange(request, this.options.detector, this.store);
+    if (!gap) this.receivedUpTo.set(from, { incarnation, upTo });
     this.publish(this.options.detector.takeTransitions(), names);
     return create(controlMessage.ExchangeResponseSchema, { resend: gap });
   }
@@ -152,15 +152,15 @@
     const { clock, detector, tickMs } = this.options;
     const { signal } = this.stopping;
     while (!signal.aborted) {
-      this.hear(self(), true);
+      this.recordHeartbeat(self(), true);
       this.publish(detector.tick(), []);
-      this.followPeers();
+      this.reconcilePeerTasks();
       this.probeSuspects();
       await clock.sleep(tickMs, signal).catch(() => undefined);
     }
   }
 
-  /** Lists what changed anew and tells it on. */
+  /** Updates the list and notifies listeners and exchange tasks. */
   private publish(transitions: readonly Transition[], names: readonly string[]): void {
     for (const transition of transitions) {
       if (transition.from !== undefined)
@@ -173,8 +173,8 @@
     this.changed.raise();
   }
 
-  /** One task for each other control instance, as they come and go. */
-  private followPeers(): void {
+  /** Starts and stops tasks so that each other control instance has one. */
+  private reconcilePeerTasks(): void {
     const wanted = new Map(this.options.controls().map(({ name, address }) => [name, address]));
     wanted.delete(this.options.name);
     for (const [name, task] of this.tasks) {
@@ -183,11 +183,11 @@
       this.tasks.delete(name);
     }
     for (const [name, address] of wanted) {
-      if (!this.tasks.has(name)) this.tasks.set(name, this.startPeer({ name, address }));
+      if (!this.tasks.has(name)) this.tasks.set(name, this.startPeerTask({ name, address }));
     }
   }
 
-  private startPeer(peer: ControlPeer): PeerTask {
+  private startPeerTask(peer: ControlPeer): PeerTask {
     const { name, incarnation, detector, peers, clock, log } = this.options;
     const stop = new AbortController();
     const { store, changed } = this;
@@ -201,11 +201,11 @@
       if (liveness !== 'suspect' || source.observer !== this.options.name) continue;
       const address = this.store.current().get(name)?.address;
       if (address === undefined || this.probing.has(name)) continue;
-      void this.probeOne(name, incarnation, address);
+      void this.probeInstance(name, incarnation, address);
     }
   }
 
-  private async probeOne(name: string, incarnation: bigint, address: string): Promise<void> {
+  private async probeInstance(name: string, incarnation: bigint, address: string): Promise<void> {
     this.probing.add(name);
     try {
       this.options.detector.evidence(name, incarnation, await this.probe(address));
--- a/packages/directory/src/membership/probe.ts
+++ b/packages/directory/src/membership/probe.ts
@@ -1,17 +1,17 @@
-/** Tries to connect to an instance that is silent. */
+/** Tests whether a silent instance accepts connections. */
 import { connect } from 'node:net';
 import type { Clock } from '@jasmineroute/core';
 import type { Evidence } from '@jasmineroute/coordination';
 
-/** Longest wait for a connection, in milliseconds. */
-const CONNECT_MS = 500;
-/** A connection that is closed this soon had nobody behind it: something on the way took it. */
-const HELD_MS = 200;
+/** Timeout of a connection attempt, in milliseconds. */
+const CONNECT_TIMEOUT_MS = 500;
+/** A connection closed within this time, in milliseconds, was accepted by an intermediary such as a proxy. */
+const STABLE_CONNECTION_MS = 200;
 
-/** Tells a process that is gone from one that is stopped and from a host out of reach. */
+/** Distinguishes an exited process, a paused process and an unreachable host. */
 export type Probe = (address: string) => Promise<Evidence>;
 
-/** A probe over TCP. */
+/** Probes over TCP. */
 export function tcpProbe(clock: Clock): Probe {
   return (address) =>
     new Promise((resolve) => {
@@ -23,13 +23,13 @@
         socket.destroy();
         resolve(found);
       };
-      let cancel = clock.after(CONNECT_MS, () => {
+      let cancel = clock.after(CONNECT_TIMEOUT_MS, () => {
         finish('unreachable');
       });
       socket.on('connect', () => {
         cancel();
         evidence = 'refused';
-        cancel = clock.after(HELD_MS, () => {
+        cancel = clock.after(STABLE_CONNECTION_MS, () => {
           finish('accepted');
         });
       });
--- a/packages/directory/src/view/view.ts
+++ b/packages/directory/src/view/view.ts
@@ -1,37 +1,37 @@
-/** What a process knows of documents, targets and instances. */
+/** The documents, targets and instances that a process sees. */
 import type { Document } from '@jasmineroute/document';
 
-/** State of an instance as control instances see it. */
+/** State of an instance as judged by the control instances. */
 export type Health = 'alive' | 'suspect' | 'leaving' | 'down';
 
 /** Role of a process. */
 export type Role = 'entry' | 'agent' | 'control';
 
-/** A model with the weights and adapters that a target has in memory. */
+/** A model that a target has in memory, with its weights and adapters. */
 export interface LoadedModel {
   readonly model: string;
   readonly version: string;
-  /** "name@version". */
+  /** Each as "name@version". */
   readonly adapters: readonly string[];
 }
 
-/** What an agent says of its target. */
+/** Target state as reported by its agent. */
 export interface Target {
   readonly service: string;
   readonly kind: 'model' | 'plain';
-  /** New for each start of the engine. */
+  /** Changes with every start of the engine. */
   readonly engineIncarnation: string;
   readonly ready: boolean;
   readonly models: readonly LoadedModel[];
-  /** Concurrent requests it can take. */
+  /** Maximum concurrent requests. */
   readonly capacity: number;
   readonly role: string;
 }
 
-/** A process of the system; an agent's carries its target. */
+/** A process of the system. An agent's instance includes its target. */
 export interface Instance {
   readonly name: string;
-  /** New for each start of the process; larger is newer. */
+  /** Increases with every start of the process. */
   readonly incarnation: bigint;
   readonly role: Role;
   /** host:port. */
@@ -39,7 +39,7 @@
   readonly dataCentre: string;
   readonly health: Health;
   readonly target?: Target;
-  /** Revision of the documents in force there. */
+  /** Revision of the documents that the instance has applied. */
   readonly revision: bigint;
 }
 
@@ -47,33 +47,33 @@
 export interface VersionedDocument {
   readonly version: bigint;
   readonly document: Document;
-  /** The compact form; operators' own text with its comments stays with control. */
+  /** Compact form. Control instances keep the original text with its comments. */
   readonly text: string;
   readonly operator: string;
   readonly acceptedAt: Date;
-  /** Revision of the whole state at which it was accepted. */
+  /** Revision of the replicated state at which it was accepted. */
   readonly revision: bigint;
 }
 
-/** One consistent picture. Replaced as a whole, never changed. */
+/** An immutable, consistent snapshot. Each change produces a new one. */
 export interface View {
   /** By service. */
   readonly documents: ReadonlyMap<string, VersionedDocument>;
   /** By name. */
   readonly instances: ReadonlyMap<string, Instance>;
-  /** Newest revision of the documents; never goes down in a process. */
+  /** Newest revision of the documents; never decreases within a process. */
   readonly revision: bigint;
-  /** Whether the source is known to be in touch with a quorum. */
+  /** Whether the source has confirmed that it is in touch with a quorum. */
   readonly vouched: boolean;
 }
 
-/** A live view. */
+/** Gives access to the current view and its changes. */
 export interface Directory {
-  /** The newest picture. */
+  /** The newest snapshot. */
   view(): View;
-  /** Calls back after every change. Returns the way to stop. */
+  /** Calls `listener` after every change. Returns a function that removes it. */
   onChange(listener: (view: View) => void): () => void;
 }
 
-/** The picture of a process that knows nothing yet. */
+/** View of a process that has not received any data. */
 export const emptyView: View = { documents: new Map(), instances: new Map(), revision: 0n, vouched: false };
