--- a/packages/directory/src/bench/heap.ts
+++ b/packages/directory/src/bench/heap.ts
@@ -48,7 +48,7 @@
       acceptedAt: new Date(0),
       revision: 1n,
     };
-    builder.put(builder.plan([stored], 1n).view);
+    builder.applyDocuments(builder.plan([stored], 1n).view);
   };
 }
 
--- a/packages/directory/src/call/controlAddresses.ts
+++ b/packages/directory/src/call/controlAddresses.ts
@@ -9,9 +9,9 @@
   /** Monotonic time of the last failure. */
   failedAt: number;
   /** Monotonic time since which an answer is waited for; undefined: nothing is open. */
-  waitingSince?: number;
+  unansweredSince?: number;
   /** Random order among equals. */
-  readonly draw: number;
+  readonly tieBreak: number;
 }
 
 /**
@@ -21,59 +21,59 @@
  */
 export class ControlAddresses {
   private readonly records = new Map<string, AddressRecord>();
-  private learnt = new Set<string>();
+  private discovered = new Set<string>();
 
   /**
-   * @param settings Addresses from the settings, host:port; they are never forgotten.
+   * @param configured Addresses from the settings, host:port; they are never forgotten.
    * @param now Monotonic milliseconds.
    */
   constructor(
-    private readonly settings: readonly string[],
+    private readonly configured: readonly string[],
     private readonly now: () => number,
     private readonly random: () => number = Math.random,
   ) {
-    for (const address of settings) this.add(address, '');
+    for (const address of configured) this.add(address, '');
   }
 
   /** Replaces the addresses learnt from documents and instances; `dataCentre` may be empty when not known. */
-  learn(found: ReadonlyMap<string, string>): void {
-    this.learnt = new Set(found.keys());
+  setDiscovered(found: ReadonlyMap<string, string>): void {
+    this.discovered = new Set(found.keys());
     for (const [address, dataCentre] of found) this.add(address, dataCentre);
     for (const address of this.records.keys()) {
-      if (!this.learnt.has(address) && !this.settings.includes(address)) this.records.delete(address);
+      if (!this.discovered.has(address) && !this.configured.includes(address)) this.records.delete(address);
     }
   }
 
   /** Notes that a call to an address failed. */
-  failed(address: string): void {
+  recordFailure(address: string): void {
     const record = this.records.get(address);
     if (record !== undefined) record.failedAt = this.now();
   }
 
   /** Notes that an address answered. */
-  answered(address: string): void {
+  recordResponse(address: string): void {
     const record = this.records.get(address);
     if (record === undefined) return;
     record.failedAt = Number.NEGATIVE_INFINITY;
-    record.waitingSince = undefined;
+    record.unansweredSince = undefined;
   }
 
   /** Notes that something is asked of an address. */
-  asked(address: string): void {
+  recordRequest(address: string): void {
     const record = this.records.get(address);
-    if (record !== undefined) record.waitingSince ??= this.now();
+    if (record !== undefined) record.unansweredSince ??= this.now();
   }
 
   /** Milliseconds for which an address has been asked without any answer, whoever asked. */
-  silentFor(address: string): number {
-    const since = this.records.get(address)?.waitingSince;
+  unansweredMs(address: string): number {
+    const since = this.records.get(address)?.unansweredSince;
     return since === undefined ? 0 : this.now() - since;
   }
 
   /** Notes that its connection was cut, so that a new one begins with a clean record. */
-  dropped(address: string): void {
+  recordDisconnect(address: string): void {
     const record = this.records.get(address);
-    if (record !== undefined) record.waitingSince = undefined;
+    if (record !== undefined) record.unansweredSince = undefined;
   }
 
   /** All addresses, best first. */
@@ -83,7 +83,7 @@
       if (record === undefined) return [0, 0, 0];
       const failing = this.now() - record.failedAt < PENALTY_MS;
       const near = record.dataCentre === '' || record.dataCentre === dataCentre;
-      return [failing ? record.failedAt : Number.NEGATIVE_INFINITY, near ? 0 : 1, record.draw];
+      return [failing ? record.failedAt : Number.NEGATIVE_INFINITY, near ? 0 : 1, record.tieBreak];
     };
     return [...this.records.keys()]
       .map((address) => ({ address, rank: rank(address) }))
@@ -94,7 +94,7 @@
   private add(address: string, dataCentre: string): void {
     const known = this.records.get(address);
     if (known === undefined) {
-      this.records.set(address, { dataCentre, failedAt: Number.NEGATIVE_INFINITY, draw: this.random() });
+      this.records.set(address, { dataCentre, failedAt: Number.NEGATIVE_INFINITY, tieBreak: this.random() });
       return;
     }
     if (dataCentre !== '') known.dataCentre = dataCentre;
--- a/packages/directory/src/call/controls.ts
+++ b/packages/directory/src/call/controls.ts
@@ -84,10 +84,10 @@
 
   private async attempt<T>(address: string, call: ControlCall<T>, ms: number): Promise<Result<T, Fault>> {
     const limit = new CallLimit().after(this.options.clock, ms);
-    this.addresses.asked(address);
+    this.addresses.recordRequest(address);
     try {
       const answer = await call(this.options.peers.transport(address), limit.signal);
-      this.addresses.answered(address);
+      this.addresses.recordResponse(address);
       return ok(answer);
     } catch (error) {
       return err(this.failed(address, error, limit.signal.aborted, ms));
@@ -99,17 +99,17 @@
   private failed(address: string, error: unknown, silent: boolean, ms: number): Fault {
     const problem = silent ? noAnswer(address, error) : faultOf(error);
     if (address === this.preferred) this.preferred = '';
-    if (isTransportFault(problem)) this.addresses.failed(address);
+    if (isTransportFault(problem)) this.addresses.recordFailure(address);
     // A connection can go silent for good while new ones work: only a new one can tell. One on which
     // something else was heard meanwhile is left to its other calls.
-    const dead = silent && ms >= this.attemptMs && this.addresses.silentFor(address) >= ATTEMPT_MS;
+    const dead = silent && ms >= this.attemptMs && this.addresses.unansweredMs(address) >= ATTEMPT_MS;
     if (dead) this.drop(address);
     return problem;
   }
 
   private drop(address: string): void {
     this.options.peers.drop(address);
-    this.addresses.dropped(address);
+    this.addresses.recordDisconnect(address);
   }
 }
 
--- a/packages/directory/src/client/announcement.ts
+++ b/packages/directory/src/client/announcement.ts
@@ -1,55 +1,55 @@
-/** What a process says of itself. */
+/** The state that a process announces about itself. */
 import { create } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 import { roleToMessage, targetToMessage } from '../message/index.js';
 import type { Role, Target } from '../view/index.js';
 
-/** What a process announces; asked for anew before each beat. */
+/** Announced state of a process, read before each heartbeat. */
 export interface Announcement {
-  /** host:port of its interface to the system. */
+  /** host:port of its RPC server. */
   readonly address: string;
   readonly dataCentre: string;
   /** Agents only. */
   readonly target?: Target;
 }
 
-/** Who announces. */
+/** Identity of the announcing process. */
 export interface Announcer {
   readonly name: string;
   readonly incarnation: bigint;
   readonly role: Role;
 }
 
-/** The announced state with its order number, which grows when the state changes. */
+/** The announced state with its sequence number, which increases with every change. */
 export class AnnouncedState {
   private sequence = 1n;
   private leaving = false;
-  private last = '';
+  private lastText = '';
 
   constructor(
     private readonly announcer: Announcer,
     private readonly self: () => Announcement,
   ) {}
 
-  /** Order number of the state as it is now. */
-  current(): bigint {
+  /** Sequence number of the current state. */
+  currentSequence(): bigint {
     const text = JSON.stringify(this.self());
-    if (this.last !== '' && text !== this.last) this.sequence += 1n;
-    this.last = text;
+    if (this.lastText !== '' && text !== this.lastText) this.sequence += 1n;
+    this.lastText = text;
     return this.sequence;
   }
 
-  /** From now on the process is leaving; there is no way back for this incarnation. */
+  /** Marks the process as leaving. Cannot be undone for this incarnation. */
   leave(): void {
     if (this.leaving) return;
     this.leaving = true;
     this.sequence += 1n;
   }
 
-  /** A beat: the whole state, or only who it is and that the state is unchanged. */
-  beat(full: boolean, revision: bigint): controlMessage.BeatRequest {
+  /** Builds a heartbeat with the full state, or with only the identity and the number of an unchanged state. */
+  heartbeat(full: boolean, revision: bigint): controlMessage.BeatRequest {
     const { name, incarnation, role } = this.announcer;
-    const sequence = this.current();
+    const sequence = this.currentSequence();
     const { ALIVE, LEAVING } = controlMessage.Health;
     const instance = create(controlMessage.InstanceSchema, {
       name,
--- a/packages/directory/src/client/directoryClient.spec.ts
+++ b/packages/directory/src/client/directoryClient.spec.ts
@@ -16,7 +16,7 @@
 const textOf = (view: View, service = 'desk'): string | undefined => view.documents.get(service)?.text;
 
 describe('DirectoryClient', () => {
-  it('gets documents and instances, and their changes', async () => {
+  it('receives documents and instances, and their changes', async () => {
     const c1 = await scene.control();
     c1.documents.accept('desk', plainText('desk', 1));
     const entry = await scene.client([c1.address]);
@@ -39,9 +39,8 @@
   });
 
   it('leaves a connection that went silent', async () => {
-    // Symptom: one entry runs on an old document for good, without an error.
-    // Sequence: the connection of its watch goes silent; neither end is told; new connections work.
-    // Cause: something between the ends has lost track of the connection.
+    // An entry must not stay on an old document without an error. A middlebox can drop the state of a connection:
+    // the watch goes silent, neither end gets an error, and new connections work.
     const { control: c1, link } = await scene.linkedControl();
     c1.documents.accept('desk', plainText('desk', 1));
     const entry = await scene.client([link.address]);
@@ -57,10 +56,9 @@
     expect(Date.now() - silentAt).toBeLessThan(5_000);
   });
 
-  it('leaves a watch that says nothing more on a connection that lives', async () => {
-    // Symptom: one entry runs on an old document for good, although its connection answers every ping.
-    // Sequence: the source's stream for this watcher hangs; the process and the connection do not.
-    // Cause: keep-alive of the transport says nothing of what runs over it.
+  it('leaves a watch stream that hangs on a working connection', async () => {
+    // An entry must not stay on an old document while its connection answers every ping. The source's stream for one
+    // watcher can hang while the process and the connection work, and transport keep-alive does not detect that.
     const c1 = await scene.control();
     c1.documents.accept('desk', plainText('desk', 1));
     c1.documents.accept('desk', plainText('desk', 2));
@@ -84,10 +82,9 @@
     });
   });
 
-  it('leaves a control instance that is out of touch with its quorum', async () => {
-    // Symptom: an accepted document is not in force at the watchers of one control instance.
-    // Sequence: that instance is cut off from its quorum, not from its watchers, and goes on with heartbeats.
-    // Cause: it serves what it had, and looks well.
+  it('leaves a control instance that has lost its quorum', async () => {
+    // Watchers must not miss accepted documents because their control instance is cut off from its quorum but not from
+    // them. It goes on serving its old state and sending keep-alive events.
     const [c1, c2] = [await scene.control('c1'), await scene.control('c2')];
     for (const { documents } of [c1, c2]) documents.accept('desk', plainText('desk', 1));
     c2.documents.setVouched(false);
@@ -105,10 +102,9 @@
     expect(log.seen).toContain(directoryEvents.watchWithoutQuorum);
   });
 
-  it('never goes back to an older document, whatever a source says', async () => {
-    // Symptom: a configuration that was accepted and in force reverts.
-    // Sequence: the watched instance is lost, and the next one lags behind or came back from an old disk.
-    // Cause: its snapshot looks as good as any other.
+  it('never goes back to an older document, whatever a source sends', async () => {
+    // A configuration that was accepted and applied must not revert. After the loss of the watched instance the next
+    // source may lag behind or have been restored from an old disk, and its snapshot looks like any other.
     const { control: c1, link: link1 } = await scene.linkedControl('c1');
     const { control: c2, link: link2 } = await scene.linkedControl('c2');
     for (const mark of [1, 2, 3]) c1.documents.accept('desk', plainText('desk', mark));
@@ -140,10 +136,9 @@
     ]);
   });
 
-  it('catches up after a thousand missed changes with no gap to those that follow', async () => {
-    // Symptom: after a long cut a process has some documents of then and some of now.
-    // Sequence: 1,000 changes pass it by; while it catches up, changes go on.
-    // Cause: what is caught up and what follows come from two places.
+  it('catches up after a thousand missed changes without losing those that follow', async () => {
+    // After a long partition a process must not hold a mix of old and new documents. It misses 1,000 changes, and more
+    // arrive while it catches up; the snapshot and the later changes come from different sources.
     const { control: c1, link } = await scene.linkedControl();
     const services = ['s0', 's1', 's2', 's3', 's4'];
     const accept = (mark: number): void => {
@@ -171,10 +166,9 @@
       expect(textOf(entry.view(), service)).toBe(compactText(text));
   });
 
-  it('forgets the instances that went while it was cut off', async () => {
-    // Symptom: an entry sends requests to a target that left an hour ago.
-    // Sequence: the entry is cut off; the target goes and is forgotten; the entry returns with its old view.
-    // Cause: nobody tells of what is not there.
+  it('removes the instances that left while it was cut off', async () => {
+    // An entry must not send requests to a target that left while the entry was cut off. The control instances have
+    // removed the target by then, so no event mentions it when the entry returns with its old view.
     const { control: c1, link } = await scene.linkedControl();
     const entry = await scene.client([link.address]);
     await until(() => {
@@ -194,10 +188,9 @@
     });
   });
 
-  it('tells an older process that a newer one has its name', async () => {
-    // Symptom: two processes under one name take turns in everybody's list.
-    // Sequence: the platform replaces a process that it thinks dead; the old one goes on.
-    // Cause: both beat under one name.
+  it('tells an older process that a newer one uses its name', async () => {
+    // Two processes must not alternate under one name in the list of instances. The platform may replace a process that
+    // it takes for failed while the old one goes on sending heartbeats.
     const c1 = await scene.control();
     const superseded = vi.fn();
     await scene.client([c1.address], {
@@ -216,10 +209,9 @@
     });
   });
 
-  it('announces a leaving that entries of other control instances see', async () => {
-    // Symptom: a target that leaves gets new work for long.
-    // Sequence: it tells the control instance that it beats to; an entry watches another one.
-    // Cause: word of it has to travel between control instances.
+  it('announces leaving to entries that watch another control instance', async () => {
+    // A leaving target must not go on receiving new requests. It reports to one control instance while an entry watches
+    // another, so the report has to pass between control instances.
     const controls: { name: string; address: string }[] = [];
     const [c1, c2] = [await scene.control('c1', { controls }), await scene.control('c2', { controls })];
     const agent = await scene.client([c1.address], { name: 'a1', role: 'agent' });
@@ -235,10 +227,9 @@
     expect(Date.now() - leftAt).toBeLessThan(2_000);
   });
 
-  it('keeps targets listed when the control instance that hears them is killed', async () => {
-    // Symptom: with one control instance killed, its targets vanish for some seconds.
-    // Sequence: they beat to the next one within a second or two.
-    // Cause: the other instances knew of them only by word of the killed one.
+  it('keeps targets listed when the control instance that receives their heartbeats is killed', async () => {
+    // The targets of a killed control instance must not disappear for some seconds. They send heartbeats to the next one
+    // within a second or two; until then the others have only the reports of the killed one.
     const controls: { name: string; address: string }[] = [];
     const [c1, c2] = [await scene.control('c1', { controls }), await scene.control('c2', { controls })];
     const link = await scene.link(c2.address);
@@ -263,7 +254,7 @@
     expect([...seen].filter((health) => health !== 'alive')).toEqual([]);
   });
 
-  it('keeps serving documents that it cannot read at their older version, and shows it', async () => {
+  it('keeps the previous version of a document that it cannot read, and shows it by the revision', async () => {
     const documents = new MemoryDocuments();
     const c1 = await scene.control('c1', { documents });
     documents.accept('desk', plainText('desk', 1));
--- a/packages/directory/src/client/directoryClient.ts
+++ b/packages/directory/src/client/directoryClient.ts
@@ -1,4 +1,4 @@
-/** Keeps a process's view of documents and instances, and keeps the process known. */
+/** Maintains a process's view of documents and instances and announces the process itself. */
 import { create } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 import type { Peers } from '@jasmineroute/protocol';
@@ -12,21 +12,21 @@
 import type { Role, View } from '../view/index.js';
 import { AnnouncedState } from './announcement.js';
 import type { Announcement } from './announcement.js';
-import { BeatTask } from './heartbeatTask.js';
+import { HeartbeatTask } from './heartbeatTask.js';
 import { EventApplier } from './eventApplier.js';
-import { KeptState } from './persistedView.js';
+import { PersistedView } from './persistedView.js';
 import { KnownAddresses } from './knownAddresses.js';
 import { defaultTiming } from './timing.js';
 import type { ClientTiming } from './timing.js';
 import { ViewBuilder } from './viewBuilder.js';
-import { ViewKeeper } from './viewPersistence.js';
+import { ViewPersistence } from './viewPersistence.js';
 import type { WatchedSource } from './watchStream.js';
 import { WatchTask } from './watchTask.js';
 
-/** What the client needs. */
+/** Dependencies and settings of the client. */
 export interface DirectoryClientOptions {
   readonly name: string;
-  /** New for each start of the process; larger is newer. */
+  /** Increases with every start of the process. */
   readonly incarnation: bigint;
   readonly role: Role;
   /** Addresses of control instances, host:port. */
@@ -35,48 +35,50 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** Whether the view holds instances too. */
+  /** Whether the view includes instances. */
   readonly wantInstances: boolean;
-  /** Services of interest; absent: all. */
+  /** Services to watch. Default: all. */
   readonly services?: readonly string[];
-  /** Folder for what is kept over a restart; absent: nothing is. */
+  /** Folder in which the view is saved for the next start. Default: not saved. */
   readonly folder?: string;
   readonly timing?: Partial<ClientTiming>;
-  /** A newer process has taken the name: this one must stop. */
+  /** Called when a newer process uses the name; this process must stop. */
   readonly onSuperseded?: () => void;
 }
 
-/** The client: one task watches, one beats. */
+/** Runs one task that watches a source and one that sends heartbeats. */
 export class DirectoryClient implements RelayedDirectory {
-  /** Addresses of control instances, for other calls to them. */
+  /** Addresses of control instances, shared with other calls to them. */
   readonly addresses: ControlAddresses;
   private readonly builder = new ViewBuilder();
   private readonly applier: EventApplier;
-  private readonly keeper: ViewKeeper | undefined;
-  private readonly known: KnownAddresses;
+  private readonly persistence: ViewPersistence | undefined;
+  private readonly knownAddresses: KnownAddresses;
   private readonly listeners = new Set<(view: View) => void>();
   private readonly stopping = new AbortController();
   private readonly timing: ClientTiming;
   private tasks: Promise<void>[] = [];
   private state: AnnouncedState | undefined;
-  private beats: BeatTask | undefined;
-  private fromControl = false;
-  /** A change did not fit: documents are asked for whole. */
-  private wholeWanted = false;
+  private heartbeats: HeartbeatTask | undefined;
+  private isFromControl = false;
+  /** Set when document edits did not apply, so that the next watch asks for full documents. */
+  private needsFullDocuments = false;
 
   constructor(private readonly options: DirectoryClientOptions) {
     const { clock, log, folder, services = [], name } = options;
     this.timing = { ...defaultTiming, ...options.timing };
     this.addresses = new ControlAddresses(options.controls, () => clock.monotonic());
-    this.known = new KnownAddresses(name, this.addresses);
-    this.keeper =
-      folder === undefined ? undefined : new ViewKeeper(new KeptState(folder, { services }), clock, log);
-    this.applier = new EventApplier(this.builder, log, (view) => this.keep(view));
+    this.knownAddresses = new KnownAddresses(name, this.addresses);
+    this.persistence =
+      folder === undefined
+        ? undefined
+        : new ViewPersistence(new PersistedView(folder, { services }), clock, log);
+    this.applier = new EventApplier(this.builder, log, (view) => this.saveDocuments(view));
   }
 
-  /** Loads what was kept and starts the tasks. Returns soon, also with control out of reach. */
+  /** Restores the saved view and starts the tasks. Does not wait for a control instance. */
   async start(self: () => Announcement): Promise<void> {
-    await this.load();
+    await this.restore();
     const { peers, clock, log, metrics } = this.options;
     const dataCentre = (): string => self().dataCentre;
     const shared = { peers, clock, log, metrics, timing: this.timing, addresses: this.addresses, dataCentre };
@@ -85,12 +87,12 @@
       ...shared,
       request: () => this.request(),
       apply: (event, source) => this.apply(event, source),
-      lost: () => {
+      onSourceLost: () => {
         this.sourceLost();
       },
-      neighbours: () => this.known.neighbours(this.view()),
+      neighbours: () => this.knownAddresses.neighbours(this.view()),
     });
-    this.beats = new BeatTask({
+    this.heartbeats = new HeartbeatTask({
       ...shared,
       state: this.state,
       revision: () => this.view().revision,
@@ -99,7 +101,7 @@
       },
     });
     const { signal } = this.stopping;
-    this.tasks = [watch.run(signal), this.beats.run(signal)];
+    this.tasks = [watch.run(signal), this.heartbeats.run(signal)];
     for (const task of this.tasks) runLasting('directory', task);
   }
 
@@ -115,46 +117,48 @@
   }
 
   vouchedByControl(): boolean {
-    return this.fromControl && this.view().vouched;
+    return this.isFromControl && this.view().vouched;
   }
 
-  /** Announces a changed self at once. */
+  /** Announces a changed state at once. */
   refresh(): void {
-    this.beats?.wake();
+    this.heartbeats?.wake();
   }
 
-  /** Announces that the process is leaving. Returns when a control instance heard it, or after 2 s. */
+  /** Announces that the process is leaving. Returns when a control instance acknowledges it, or after 2 s. */
   async leave(): Promise<void> {
     const { clock, log } = this.options;
-    if (this.state === undefined || this.beats === undefined) return;
+    if (this.state === undefined || this.heartbeats === undefined) return;
     this.state.leave();
     const done = new AbortController();
-    const heard = this.beats.taken(this.state.current()).then(() => true);
-    const late = clock.sleep(this.timing.leaveMs, done.signal).then(
+    const acknowledged = this.heartbeats
+      .waitForAcknowledgement(this.state.currentSequence())
+      .then(() => true);
+    const timeout = clock.sleep(this.timing.leaveMs, done.signal).then(
       () => false,
       () => false,
     );
-    const wasHeard = await Promise.race([heard, late]);
+    const wasAcknowledged = await Promise.race([acknowledged, timeout]);
     done.abort();
-    log.event(wasHeard ? directoryEvents.leaveAcknowledged : directoryEvents.leaveUnacknowledged);
+    log.event(wasAcknowledged ? directoryEvents.leaveAcknowledged : directoryEvents.leaveUnacknowledged);
   }
 
-  /** Ends the tasks and writes what waits to be kept. */
+  /** Stops the tasks and writes pending changes to disk. */
   async stop(): Promise<void> {
     this.stopping.abort(new Error('stopped'));
     await Promise.all(this.tasks);
-    await this.keeper?.close(this.view());
+    await this.persistence?.close(this.view());
   }
 
-  private async load(): Promise<void> {
+  private async restore(): Promise<void> {
     const before = this.view();
-    const kept = (await this.keeper?.load(this.builder)) ?? { controls: [], neighbours: [] };
-    this.known.restore(kept, this.view());
-    this.tell(before);
+    const kept = (await this.persistence?.load(this.builder)) ?? { controls: [], neighbours: [] };
+    this.knownAddresses.restore(kept, this.view());
+    this.notify(before);
   }
 
-  private async keep(view: View): Promise<void> {
-    await this.keeper?.keepDocuments(view, this.known.toKeep(view));
+  private async saveDocuments(view: View): Promise<void> {
+    await this.persistence?.saveDocuments(view, this.knownAddresses.toPersist(view));
   }
 
   private request(): controlMessage.WatchRequest {
@@ -163,7 +167,7 @@
     this.applier.begin();
     return create(controlMessage.WatchRequestSchema, {
       name,
-      revision: this.wholeWanted ? 0n : view.revision,
+      revision: this.needsFullDocuments ? 0n : view.revision,
       services: [...services],
       instances: wantInstances,
       buckets: wantInstances && view.instances.size > 0 ? bucketDigests(view.instances.values()) : [],
@@ -173,27 +177,28 @@
   private async apply(event: controlMessage.WatchEvent, source: WatchedSource): Promise<boolean> {
     const before = this.view();
     const fits = await this.applier.apply(event);
-    this.wholeWanted = !fits;
+    this.needsFullDocuments = !fits;
     if (!fits) return false;
-    this.known.tell(event.neighbours);
-    this.fromControl = source.kind === 'control';
-    if (this.view().instances !== before.instances) this.keeper?.keepInstances(() => this.view());
-    this.tell(before);
+    this.knownAddresses.setNeighbours(event.neighbours);
+    this.isFromControl = source.kind === 'control';
+    if (this.view().instances !== before.instances) this.persistence?.scheduleInstances(() => this.view());
+    this.notify(before);
     return true;
   }
 
   private sourceLost(): void {
     const before = this.view();
-    this.fromControl = false;
+    this.isFromControl = false;
     this.builder.applyVouched(false);
-    this.tell(before);
+    this.notify(before);
   }
 
-  private tell(before: View): void {
+  private notify(before: View): void {
     const view = this.view();
     if (view === before) return;
     const { metrics } = this.options;
-    if (view.documents !== before.documents || view.instances !== before.instances) this.known.follow(view);
+    if (view.documents !== before.documents || view.instances !== before.instances)
+      this.knownAddresses.update(view);
     metrics.gauge(directoryMetrics.revision, Number(view.revision));
     metrics.gauge(directoryMetrics.vouched, view.vouched ? 1 : 0);
     metrics.gauge(directoryMetrics.instances, view.instances.size);
--- a/packages/directory/src/client/eventApplier.spec.ts
+++ b/packages/directory/src/client/eventApplier.spec.ts
@@ -35,7 +35,7 @@
 });
 
 describe('EventApplier', () => {
-  it('follows a document by its changes', async () => {
+  it('applies document changes as edits', async () => {
     const { builder, applier, documents, event } = setUp();
     documents.accept('desk', plainText('desk', 0));
     await applier.apply(event());
@@ -48,10 +48,9 @@
     }
   });
 
-  it('takes no change that does not fit what it holds', async () => {
-    // Symptom: a document in force that no operator ever accepted.
-    // Sequence: a change arrives whose base is another text than the one held.
-    // Cause: changes are made of positions, which fit anywhere.
+  it('rejects edits that do not match the local document', async () => {
+    // A process must not apply a document that no operator accepted. Edits consist of positions, which can be applied to
+    // any text, also to one that is not their base.
     const { builder, applier, documents, event } = setUp();
     documents.accept('desk', plainText('desk', 0));
     await applier.apply(event());
@@ -68,9 +67,8 @@
   });
 
   it('keeps the newer document when a source sends an older one', async () => {
-    // Symptom: a configuration that was accepted and in force reverts.
-    // Sequence: a source sends its newest documents, which are older than those held.
-    // Cause: it was restored from a copy, or does not look at what the watcher has.
+    // A configuration that was accepted and applied must not revert. A source restored from a backup, or one that
+    // ignores the watcher's revision, sends documents older than the local ones.
     const { builder, applier, documents, event } = setUp();
     documents.accept('desk', plainText('desk', 0));
     const old = event();
@@ -82,10 +80,9 @@
     expect(before.revision).toBe(2n);
   });
 
-  it('shows the first comparison only when it is whole', async () => {
-    // Symptom: just after a start an entry thinks that a service has three targets, and overloads them.
-    // Sequence: a snapshot comes in parts, and requests come between.
-    // Cause: the view was built from a part.
+  it('shows the first snapshot only when it is complete', async () => {
+    // Just after a start an entry must not send all requests to the few targets of a partial snapshot. Snapshots arrive
+    // in several events, and requests may come in between.
     const { builder, applier, event } = setUp();
     const [a, b] = [instanceToMessage(instance('a')), instanceToMessage(instance('b'))];
     applier.begin();
@@ -95,7 +92,7 @@
     expect([...builder.view().instances.keys()]).toEqual(['a', 'b']);
   });
 
-  it('leaves views that were given out as they are, and shares what did not change', async () => {
+  it('never changes a returned view, and shares unchanged parts', async () => {
     const { builder, applier, event } = setUp();
     const message = (name: string, change = {}) => instanceToMessage(instance(name, change));
     await applier.apply(event({ instances: [message('a'), message('b')], snapshot: true }));
@@ -107,11 +104,10 @@
     expect(builder.view().documents).toBe(before.documents);
   });
 
-  it('loses nothing to a neighbour that has just started', async () => {
-    // Symptom: with no control instance left, an entry that came back with an empty folder never serves, and the
-    // neighbour that it asked stops serving too.
-    // Sequence: both watch each other; the empty one is the first to send its whole view, with nothing in it.
-    // Cause: what a source without a quorum behind it did not name counted as gone.
+  it('keeps its instances when a neighbour that has just started sends an empty view', async () => {
+    // Without any control instance, an entry that restarts with an empty folder must not make its neighbour stop serving.
+    // Both watch each other; if the empty one sends its snapshot first and missing instances counted as removed, both
+    // views would be empty.
     const { builder, applier, event } = setUp();
     const target = instance('lm-1');
     const everything = [bucketOf('lm-1')];
@@ -122,7 +118,7 @@
     expect(await applier.apply(event({ buckets: everything, snapshot: true }))).toBe(true);
     expect(await applier.apply(event({ removed: ['lm-1'] }))).toBe(true);
     expect([...builder.view().instances.keys()]).toEqual(['lm-1']);
-    // Once the source vouches, what it left out is asked for again, and counts.
+    // Once the source is in touch with a quorum, a new snapshot is requested and its removals apply.
     expect(await applier.apply(event({ vouched: true }))).toBe(false);
     applier.begin();
     await applier.apply(event({ vouched: true, buckets: everything, snapshot: true }));
--- a/packages/directory/src/client/eventApplier.ts
+++ b/packages/directory/src/client/eventApplier.ts
@@ -1,4 +1,4 @@
-/** Turns the events of a watch into the view. */
+/** Applies the events of a watch to the view. */
 import type { Log } from '@jasmineroute/core';
 import type { controlMessage } from '@jasmineroute/protocol';
 import { directoryEvents } from '../events.js';
@@ -7,37 +7,38 @@
 import type { View } from '../view/index.js';
 import type { InstanceUpdate, ViewBuilder } from './viewBuilder.js';
 
-/** Called with a view whose documents are new, before it is in force. */
-export type Keep = (view: View) => Promise<void>;
+/** Saves a view with changed documents before it is applied. */
+export type PersistView = (view: View) => Promise<void>;
 
-/** Applies events in their order. One watch at a time uses it. */
+/** Applies events in order. Used by one watch at a time. */
 export class EventApplier {
-  /** Parts of the first comparison, held until all have come, so that the view is never half of one. */
+  /** Parts of the initial snapshot, collected until it is complete, so that no partial snapshot becomes visible. */
   private parts: InstanceUpdate[] = [];
-  private compared = false;
-  /** The source left instances out while it did not vouch. */
-  private withheld = false;
+  private hasSnapshot = false;
+  /** Removals were ignored because the source was not in touch with a quorum. */
+  private ignoredRemovals = false;
 
   constructor(
     private readonly builder: ViewBuilder,
     private readonly log: Log,
-    private readonly keep: Keep,
+    private readonly persist: PersistView,
   ) {}
 
-  /** A new watch begins. */
+  /** Resets the state for a new watch. */
   begin(): void {
     this.parts = [];
-    this.compared = false;
-    this.withheld = false;
+    this.hasSnapshot = false;
+    this.ignoredRemovals = false;
   }
 
   /**
-   * @returns false when the whole must be asked for: an edit did not fit the document held here, or the source vouches
-   * now and had left instances out before.
+   * Applies one event.
+   * @returns false when a new snapshot is needed: edits did not apply to the local document, or removals were ignored
+   * earlier and the source is in touch with a quorum now.
    */
   async apply(event: controlMessage.WatchEvent): Promise<boolean> {
-    if (event.vouched && this.withheld) return false;
-    const documents = this.texts(event.documents);
+    if (event.vouched && this.ignoredRemovals) return false;
+    const documents = this.fullDocuments(event.documents);
     if (documents === undefined) return false;
     await this.applyDocuments(documents, event.revision);
     this.applyInstances(event);
@@ -48,31 +49,39 @@
   private async applyDocuments(documents: readonly StoredDocument[], revision: bigint): Promise<void> {
     const { view, unreadable } = this.builder.plan(documents, revision);
     for (const one of unreadable) this.log.event(directoryEvents.documentUnreadable, { ...one });
-    if (view.documents !== this.builder.view().documents) await this.keep(view);
-    this.builder.put(view);
+    if (view.documents !== this.builder.view().documents) await this.persist(view);
+    this.builder.applyDocuments(view);
   }
 
   private applyInstances(event: controlMessage.WatchEvent): void {
     const changed = event.instances.map(instanceFromMessage);
-    this.parts.push({ changed, ...this.leftOut(event) });
-    this.compared ||= event.snapshot;
-    if (!this.compared) return;
+    this.parts.push({ changed, ...this.removalsOf(event) });
+    this.hasSnapshot ||= event.snapshot;
+    if (!this.hasSnapshot) return;
     this.builder.applyInstances(this.parts);
     this.parts = [];
   }
 
   /**
-   * What a source says is gone. Without a quorum behind it, it may just have started and know nothing: two entries that
-   * watch each other while control is down would then empty each other's views, and neither would serve any more.
+   * Removals of an event. Those of a source without a quorum are ignored: it may have just started with an empty view,
+   * and two entries that watch each other while no control instance is up would empty each other's views and stop
+   * serving.
    */
-  private leftOut({ vouched, removed, buckets }: controlMessage.WatchEvent): Omit<InstanceUpdate, 'changed'> {
+  private removalsOf({
+    vouched,
+    removed,
+    buckets,
+  }: controlMessage.WatchEvent): Omit<InstanceUpdate, 'changed'> {
     if (vouched) return { removed, buckets };
-    this.withheld ||= removed.length > 0 || buckets.length > 0;
+    this.ignoredRemovals ||= removed.length > 0 || buckets.length > 0;
     return { removed: [], buckets: [] };
   }
 
-  /** Documents with their whole texts; several changes of one document may follow each other. */
-  private texts(messages: readonly controlMessage.DocumentVersion[]): StoredDocument[] | undefined {
+  /**
+   * The newest documents with their full texts; a message list may hold several changes of one document.
+   * @returns undefined when edits do not apply
+   */
+  private fullDocuments(messages: readonly controlMessage.DocumentVersion[]): StoredDocument[] | undefined {
     const newest = new Map<string, StoredDocument>();
     for (const message of messages) {
       const held = newest.get(message.service) ?? this.held(message.service);
@@ -94,7 +103,7 @@
   }
 }
 
-/** The edited text; undefined when the base is another one or the result is not what the sender has. */
+/** The edited text; undefined if the base revision differs or the digest does not match. */
 function editedText(
   message: controlMessage.DocumentVersion,
   base: StoredDocument | undefined,
--- a/packages/directory/src/client/heartbeatTask.ts
+++ b/packages/directory/src/client/heartbeatTask.ts
@@ -1,4 +1,4 @@
-/** The task that keeps a process known. */
+/** Sends the heartbeats of a process to control instances. */
 import { createClient } from '@connectrpc/connect';
 import type { Clock, Log, Metrics } from '@jasmineroute/core';
 import { controlMessage, faultOf } from '@jasmineroute/protocol';
@@ -12,17 +12,17 @@
 import type { ClientTiming } from './timing.js';
 import { Wakeup } from './wakeup.js';
 
-/** Share by which the time between beats varies. */
+/** Random variation of the heartbeat interval, as a share of it. */
 const JITTER = 0.1;
-/** Instances that are tried for one beat. Under load all are slow, and trying each would add to it. */
-const TRIES = 2;
-/** Wait after the first beat that nobody answers, in times of the usual one. */
-const FIRST_WAIT_FACTOR = 0.25;
-/** Longest wait between beats that nobody answers, in times of the usual one. */
-const MAX_WAIT_FACTOR = 4;
+/** Control instances tried per heartbeat. Under load all are slow, and trying each of them would add to the load. */
+const MAX_ATTEMPTS = 2;
+/** Delay after the first unanswered heartbeat, as a multiple of the interval. */
+const FIRST_RETRY_FACTOR = 0.25;
+/** Maximum delay between unanswered heartbeats, as a multiple of the interval. */
+const MAX_RETRY_FACTOR = 4;
 
-/** What the task works with. */
-export interface BeatContext {
+/** Dependencies of the heartbeat task. */
+export interface HeartbeatContext {
   readonly peers: Peers;
   readonly clock: Clock;
   readonly log: Log;
@@ -31,62 +31,62 @@
   readonly addresses: ControlAddresses;
   readonly state: AnnouncedState;
   readonly dataCentre: () => string;
-  /** Revision of the documents in force here. */
+  /** Revision of the documents that this process has applied. */
   readonly revision: () => bigint;
-  /** A newer process has the name. */
+  /** Called when a newer process uses the name. */
   readonly superseded: () => void;
 }
 
-/** Sends beats, one after the other, to one control instance, and to another when that does not answer. */
-export class BeatTask {
+/** Sends heartbeats to one control instance and switches to another when it does not answer. */
+export class HeartbeatTask {
   private readonly wakeup = new Wakeup();
   private address: string | undefined;
-  /** Rounds in a row without an answer. */
+  /** Consecutive rounds without an answer. */
   private failures = 0;
-  /** Order number of the newest state that was taken, by the instance that took it. */
-  private heard: { address: string; sequence: bigint } | undefined;
+  /** The newest acknowledged sequence number and the control instance that acknowledged it. */
+  private lastAcknowledged: { address: string; sequence: bigint } | undefined;
   private unvouchedSince: number | undefined;
   private readonly waiters = new Set<{ sequence: bigint; resolve: () => void }>();
 
-  constructor(private readonly context: BeatContext) {}
+  constructor(private readonly context: HeartbeatContext) {}
 
-  /** Sends a beat at once. */
+  /** Sends a heartbeat at once. */
   wake(): void {
-    this.wakeup.call();
+    this.wakeup.trigger();
   }
 
-  /** Resolves when the state of this order number, or a later one, was taken. */
-  taken(sequence: bigint): Promise<void> {
+  /** Resolves when a state with this or a higher sequence number is acknowledged. */
+  waitForAcknowledgement(sequence: bigint): Promise<void> {
     return new Promise((resolve) => {
       this.waiters.add({ sequence, resolve });
       this.wake();
     });
   }
 
-  /** Runs until `signal` is aborted or a newer process has the name. */
+  /** Runs until `signal` is aborted or a newer process uses the name. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock } = this.context;
     while (!signal.aborted) {
-      const superseded = await this.round(signal);
+      const superseded = await this.sendRound(signal);
       if (superseded) return;
-      await this.wakeup.sleep(clock, jittered(this.waitMs(), JITTER), signal);
+      await this.wakeup.sleep(clock, jittered(this.delayMs(), JITTER), signal);
     }
   }
 
-  /** Soon again after the first failure, as observers count the time; later with each further one. */
-  private waitMs(): number {
+  /** Retries soon after the first failure, as failure detection is running; backs off with each further one. */
+  private delayMs(): number {
     const { beatMs } = this.context.timing;
     if (this.failures === 0) return beatMs;
-    return beatMs * Math.min(MAX_WAIT_FACTOR, FIRST_WAIT_FACTOR * 2 ** (this.failures - 1));
+    return beatMs * Math.min(MAX_RETRY_FACTOR, FIRST_RETRY_FACTOR * 2 ** (this.failures - 1));
   }
 
-  /** Goes through the control instances until one answers. */
-  private async round(signal: AbortSignal): Promise<boolean> {
+  /** Sends one heartbeat, trying control instances until one answers. Returns whether this process is superseded. */
+  private async sendRound(signal: AbortSignal): Promise<boolean> {
     const { addresses, dataCentre } = this.context;
     const order = addresses.order(dataCentre());
     const candidates =
       this.address === undefined ? order : [this.address, ...order.filter((one) => one !== this.address)];
-    for (const address of candidates.slice(0, TRIES)) {
+    for (const address of candidates.slice(0, MAX_ATTEMPTS)) {
       if (signal.aborted) return false;
       const answer = await this.send(address, signal);
       if (answer === undefined) continue;
@@ -97,7 +97,7 @@
         return true;
       }
       if (answer.resend) this.wake();
-      this.judge(answer.vouched);
+      this.checkQuorum(answer.vouched);
       return false;
     }
     this.address = undefined;
@@ -107,29 +107,34 @@
 
   private async send(address: string, stop: AbortSignal): Promise<controlMessage.BeatResponse | undefined> {
     const { clock, metrics, timing, state, peers, addresses } = this.context;
-    const sequence = state.current();
-    const known = this.heard?.address === address && this.heard.sequence === sequence;
-    const request = state.beat(!known, this.context.revision());
+    const sequence = state.currentSequence();
+    const isAcknowledged =
+      this.lastAcknowledged?.address === address && this.lastAcknowledged.sequence === sequence;
+    const request = state.heartbeat(!isAcknowledged, this.context.revision());
     const limit = new CallLimit(stop).after(clock, timing.beatTimeoutMs);
     const started = clock.monotonic();
-    addresses.asked(address);
+    addresses.recordRequest(address);
     try {
       const client = createClient(controlMessage.Directory, peers.transport(address));
       const answer = await client.beat(request, { signal: limit.signal });
       metrics.timing(directoryMetrics.beatDuration, clock.monotonic() - started);
-      addresses.answered(address);
-      this.settle(address, sequence, answer);
+      addresses.recordResponse(address);
+      this.recordAcknowledgement(address, sequence, answer);
       return answer;
     } catch (error) {
-      if (!stop.aborted) this.failed(address, error);
+      if (!stop.aborted) this.recordFailure(address, error);
       return undefined;
     } finally {
       limit.release();
     }
   }
 
-  private settle(address: string, sequence: bigint, answer: controlMessage.BeatResponse): void {
-    this.heard = answer.resend ? undefined : { address, sequence };
+  private recordAcknowledgement(
+    address: string,
+    sequence: bigint,
+    answer: controlMessage.BeatResponse,
+  ): void {
+    this.lastAcknowledged = answer.resend ? undefined : { address, sequence };
     if (answer.resend) return;
     for (const waiter of this.waiters) {
       if (waiter.sequence > sequence) continue;
@@ -138,22 +143,22 @@
     }
   }
 
-  private failed(address: string, error: unknown): void {
+  private recordFailure(address: string, error: unknown): void {
     const { addresses, metrics, log, peers, timing } = this.context;
     log.event(directoryEvents.heartbeatFailed, { address, problem: faultOf(error).message });
     metrics.count(directoryMetrics.beatFailures);
-    addresses.failed(address);
-    // A connection on which nothing at all was heard may be silent for good: the next beat takes a new one.
-    if (addresses.silentFor(address) <= timing.silenceMs) return;
+    addresses.recordFailure(address);
+    // A connection on which no call is answered may be dead without an error; the next heartbeat opens a new one.
+    if (addresses.unansweredMs(address) <= timing.silenceMs) return;
     peers.drop(address);
-    addresses.dropped(address);
+    addresses.recordDisconnect(address);
   }
 
   /**
-   * Leaves a control instance that is out of touch with its quorum: what it hears of this process does not
-   * reach the others, which would think it gone.
+   * Switches away from a control instance that has lost its quorum. It cannot pass heartbeats on to the other control
+   * instances, which would take this process for failed.
    */
-  private judge(vouched: boolean): void {
+  private checkQuorum(vouched: boolean): void {
     const { clock, timing, addresses } = this.context;
     if (vouched) {
       this.unvouchedSince = undefined;
@@ -162,7 +167,7 @@
     this.unvouchedSince ??= clock.monotonic();
     if (clock.monotonic() - this.unvouchedSince < timing.unvouchedMs) return;
     this.unvouchedSince = undefined;
-    if (this.address !== undefined) addresses.failed(this.address);
+    if (this.address !== undefined) addresses.recordFailure(this.address);
     this.address = undefined;
   }
 }
--- a/packages/directory/src/client/index.ts
+++ b/packages/directory/src/client/index.ts
@@ -1,4 +1,4 @@
-/** The client side: a process's own view, and its place in the views of others. */
+/** Client side: maintains a process's view and announces the process. */
 export * from './announcement.js';
 export * from './directoryClient.js';
 export * from './timing.js';
--- a/packages/directory/src/client/interner.ts
+++ b/packages/directory/src/client/interner.ts
@@ -1,17 +1,17 @@
-/** Shares equal parts of instances. */
+/** Shares equal parts of instances to save memory. */
 import type { Instance, LoadedModel, Target } from '../view/index.js';
 
-/** Distinct values that are held; a view has few, so more means that old ones linger. */
-const MAX_HELD = 4_096;
+/** Maximum number of distinct values. A view has few, so more means that most are no longer used. */
+const MAX_ENTRIES = 4_096;
 
 /**
- * Makes equal strings and equal lists of models one object. Thousands of targets of one service differ in name
- * and address only, and messages bring a copy of all else with each of them.
+ * Replaces equal strings and equal model lists by one shared object. Thousands of targets of one service differ only
+ * in name and address, and each decoded message holds its own copy of everything else.
  */
 export class Interner {
   private readonly held = new Map<string, unknown>();
 
-  /** An equal instance made of shared parts. */
+  /** Returns an equal instance made of shared parts. */
   instance(instance: Instance): Instance {
     const { role, health, target } = instance;
     return {
@@ -33,17 +33,17 @@
   }
 
   private text(text: string): string {
-    return this.share(`text ${text}`, text);
+    return this.intern(`text ${text}`, text);
   }
 
   private models(models: readonly LoadedModel[]): readonly LoadedModel[] {
-    return this.share(`models ${JSON.stringify(models)}`, models);
+    return this.intern(`models ${JSON.stringify(models)}`, models);
   }
 
-  private share<T>(key: string, value: T): T {
+  private intern<T>(key: string, value: T): T {
     const known = this.held.get(key);
     if (known !== undefined) return known as T;
-    if (this.held.size >= MAX_HELD) this.held.clear();
+    if (this.held.size >= MAX_ENTRIES) this.held.clear();
     this.held.set(key, value);
     return value;
   }
--- a/packages/directory/src/client/knownAddresses.ts
+++ b/packages/directory/src/client/knownAddresses.ts
@@ -1,49 +1,49 @@
-/** Addresses that a process has learnt of: control instances, and neighbours to ask when none answers. */
+/** Tracks addresses of control instances, and of neighbours to watch when no control instance answers. */
 import type { ControlAddresses } from '../call/index.js';
 import { CONTROL_SERVICE } from '../message/index.js';
 import type { View } from '../view/index.js';
-import type { KeptAddresses } from './persistedView.js';
+import type { PersistedAddresses } from './persistedView.js';
 
-/** Neighbours that are kept in a file. */
-const KEPT_NEIGHBOURS = 32;
+/** Maximum number of neighbours saved to disk. */
+const MAX_PERSISTED_NEIGHBOURS = 32;
 
-/** Follows the view and what sources tell. */
+/** Collects addresses from the view and from sources. */
 export class KnownAddresses {
-  private told: readonly string[] = [];
-  private keptControls: readonly string[] = [];
+  private reportedNeighbours: readonly string[] = [];
+  private persistedControls: readonly string[] = [];
 
   constructor(
     private readonly name: string,
     private readonly controls: ControlAddresses,
   ) {}
 
-  /** Takes what was kept in a file. */
-  restore(kept: KeptAddresses, view: View): void {
-    this.told = kept.neighbours;
-    this.keptControls = kept.controls;
-    this.follow(view);
+  /** Restores the saved addresses. */
+  restore(kept: PersistedAddresses, view: View): void {
+    this.reportedNeighbours = kept.neighbours;
+    this.persistedControls = kept.controls;
+    this.update(view);
   }
 
-  /** Takes the neighbours that a source told of. */
-  tell(neighbours: readonly string[]): void {
-    if (neighbours.length > 0) this.told = neighbours;
+  /** Replaces the neighbours reported by a source; an empty list is ignored. */
+  setNeighbours(neighbours: readonly string[]): void {
+    if (neighbours.length > 0) this.reportedNeighbours = neighbours;
   }
 
-  /** Control instances can be replaced: documents and instances say where they are now. */
-  follow(view: View): void {
+  /** Updates the control addresses from the documents and instances of a view, as control instances can be replaced. */
+  update(view: View): void {
     const document = view.documents.get(CONTROL_SERVICE)?.document;
     const replicas = document?.kind === 'control' ? document.replicas : [];
     const found = new Map(replicas.map(({ address }) => [address, '']));
     for (const { role, address, dataCentre, health } of view.instances.values()) {
       if (role === 'control' && health !== 'down') found.set(address, dataCentre);
     }
-    if (found.size === 0) for (const address of this.keptControls) found.set(address, '');
-    this.controls.learn(found);
+    if (found.size === 0) for (const address of this.persistedControls) found.set(address, '');
+    this.controls.setDiscovered(found);
   }
 
-  /** Entries that may serve what they know, without this process itself. */
+  /** Addresses of entries that may serve their view, without this process itself. */
   neighbours(view: View): string[] {
-    const found = new Set(this.told);
+    const found = new Set(this.reportedNeighbours);
     for (const { role, address, health, name } of view.instances.values()) {
       if (role === 'entry' && health !== 'down' && name !== this.name) found.add(address);
     }
@@ -52,9 +52,9 @@
     return [...found];
   }
 
-  /** What to keep in a file. */
-  toKeep(view: View): KeptAddresses {
+  /** Addresses to save. */
+  toPersist(view: View): PersistedAddresses {
     const controls = this.controls.order();
-    return { controls, neighbours: this.neighbours(view).slice(0, KEPT_NEIGHBOURS) };
+    return { controls, neighbours: this.neighbours(view).slice(0, MAX_PERSISTED_NEIGHBOURS) };
   }
 }
--- a/packages/directory/src/client/persistedView.ts
+++ b/packages/directory/src/client/persistedView.ts
@@ -1,4 +1,4 @@
-/** What a process keeps of its view over a restart. */
+/** The files in which a process saves its view for the next start. */
 import { join } from 'node:path';
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import { err, ok } from 'neverthrow';
@@ -8,33 +8,33 @@
 import { controlMessage } from '@jasmineroute/protocol';
 import { documentToMessage, instanceToMessage } from '../message/index.js';
 import type { View } from '../view/index.js';
-import { readKept, writeKept } from './stateFile.js';
+import { readStateFile, writeStateFile } from './stateFile.js';
 
-/** Documents and addresses; written before new documents are in force. */
+/** Documents and addresses; written before new documents are applied. */
 const DOCUMENTS_FILE = 'directory-documents.kept';
-/** Instances; written now and then, as they are checked against the source anyway. */
+/** Instances; written with a delay, as they are compared with the source after a start anyway. */
 const INSTANCES_FILE = 'directory-instances.kept';
 
-/** Addresses that are kept beside the view. */
-export interface KeptAddresses {
+/** Addresses saved together with the view. */
+export interface PersistedAddresses {
   readonly controls: readonly string[];
   readonly neighbours: readonly string[];
 }
 
-/** What a process was limited to when it wrote the files. */
-export interface KeptScope {
+/** Services to which a process was limited when it wrote the files. */
+export interface PersistedScope {
   readonly services: readonly string[];
 }
 
-/** The two files in a folder. */
-export class KeptState {
+/** Reads and writes the two files in a folder. */
+export class PersistedView {
   constructor(
     private readonly folder: string,
-    private readonly scope: KeptScope,
+    private readonly scope: PersistedScope,
   ) {}
 
   /** Writes the documents of a view and the addresses. */
-  writeDocuments(view: View, addresses: KeptAddresses): Promise<Result<void, Fault>> {
+  writeDocuments(view: View, addresses: PersistedAddresses): Promise<Result<void, Fault>> {
     const state = create(controlMessage.WatchEventSchema, {
       documents: [...view.documents].map(([service, document]) =>
         documentToMessage({ service, ...document }),
@@ -51,12 +51,12 @@
     return this.write(INSTANCES_FILE, create(controlMessage.WatchEventSchema, { instances }), []);
   }
 
-  /** Reads the documents; undefined when there are none, or only those of other services. */
+  /** Reads the documents; undefined if there is no file or it was written for other services. */
   readDocuments(): Promise<Result<controlMessage.KeptState | undefined, Fault>> {
     return this.read(DOCUMENTS_FILE);
   }
 
-  /** Reads the instances. */
+  /** Reads the instances; undefined as for documents. */
   readInstances(): Promise<Result<controlMessage.KeptState | undefined, Fault>> {
     return this.read(INSTANCES_FILE);
   }
@@ -71,11 +71,11 @@
       services: [...this.scope.services].sort(),
       controls: [...controls],
     });
-    return writeKept(join(this.folder, file), toBinary(controlMessage.KeptStateSchema, kept));
+    return writeStateFile(join(this.folder, file), toBinary(controlMessage.KeptStateSchema, kept));
   }
 
   private async read(file: string): Promise<Result<controlMessage.KeptState | undefined, Fault>> {
-    const content = await readKept(join(this.folder, file));
+    const content = await readStateFile(join(this.folder, file));
     if (content.isErr()) return err(content.error);
     if (content.value === undefined) return ok(undefined);
     try {
--- a/packages/directory/src/client/restart.spec.ts
+++ b/packages/directory/src/client/restart.spec.ts
@@ -10,7 +10,7 @@
 
 const until = (check: () => void): Promise<void> => vi.waitFor(check, { timeout: 20_000, interval: 10 });
 
-/** An entry that has a view of one document and one target, stopped; its folder. */
+/** Starts an entry, waits until its view has one document and one target, and stops it. Returns its folder. */
 async function stoppedEntry(): Promise<string> {
   const folder = await scene.folder();
   const c1 = await scene.control();
@@ -27,10 +27,9 @@
 }
 
 describe('restart', () => {
-  it('starts from what it kept while control is out of reach', async () => {
-    // Symptom: after a power cut in one data centre its entries refuse all calls until control is back.
-    // Sequence: all restart; no control instance can be reached.
-    // Cause: documents and targets were known to memory only.
+  it('starts with the saved view while no control instance is reachable', async () => {
+    // After a power loss in one data centre its entries must not reject all calls until a control instance is back. All
+    // processes restart, so documents and targets held only in memory would be lost.
     const folder = await stoppedEntry();
     const restarted = await scene.client(['127.0.0.1:1'], { folder, incarnation: 2n });
     expect(restarted.view()).toMatchObject({ revision: 1n, vouched: false });
@@ -38,10 +37,9 @@
     expect(restarted.view().instances.get('a1')?.target?.service).toBe('desk');
   });
 
-  it('keeps a document before it is in force', async () => {
-    // Symptom: a process that restarts right after a change runs on the older document.
-    // Sequence: the change is in force; the process is killed at that moment; control is out of reach.
-    // Cause: the file was written after.
+  it('saves a document before it applies it', async () => {
+    // A process that is killed right after it applied a change must not restart with the older document while no control
+    // instance is reachable, as it would if the file were written afterwards.
     const folder = await scene.folder();
     const c1 = await scene.control();
     const entry = await scene.client([c1.address], { folder });
@@ -56,10 +54,9 @@
     expect((await kept[0])?.includes('now-kept')).toBe(true);
   });
 
-  it('passes over damaged files and says so', async () => {
-    // Symptom: a process that does not start, or starts with half of a document.
-    // Sequence: a bit of each kept file flips, or its end is lost.
-    // Cause: disks and crashes.
+  it('ignores damaged files and logs it', async () => {
+    // A process must not fail to start, or start with part of a document, when a bit of a saved file flips or its end is
+    // lost because of a disk fault or a crash.
     const folder = await stoppedEntry();
     for (const name of await readdir(folder)) {
       const bytes = await readFile(join(folder, name));
@@ -72,10 +69,9 @@
     expect(restarted.view().documents.size).toBe(0);
   });
 
-  it('learns from a neighbour while no control instance answers', async () => {
-    // Symptom: an agent without a disk of use to it serves nothing after a restart.
-    // Sequence: control is out of reach; an entry that the agent was told of is there.
-    // Cause: only control instances were asked.
+  it('watches a neighbour while no control instance answers', async () => {
+    // An agent that restarts with outdated files must still get the current documents while no control instance is
+    // reachable, from an entry whose address it has saved.
     const c1 = await scene.control();
     c1.documents.accept('desk', plainText('desk', 1));
     const neighbour = await scene.servingEntry([c1.address], { name: 'e2' });
--- a/packages/directory/src/client/stateFile.ts
+++ b/packages/directory/src/client/stateFile.ts
@@ -1,4 +1,4 @@
-/** One file whose content is whole or not used at all. */
+/** Reads and writes a file atomically, with a checksum that detects damage. */
 import { createHash } from 'node:crypto';
 import { mkdir, open, readFile, rename } from 'node:fs/promises';
 import { dirname } from 'node:path';
@@ -7,7 +7,7 @@
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 
-/** First bytes of the file: format and its version. */
+/** First bytes of the file: format and version. */
 const MAGIC = Buffer.from('JRKEPT1\n');
 const DIGEST_BYTES = 32;
 
@@ -16,11 +16,11 @@
 }
 
 /**
- * Replaces the file. The new content is synced under another name before it takes the name, and the folder is
- * synced after: a crash at any point leaves the old file or the new one, never a part.
- * @returns 'storage-failed' when it could not be done; the old file is as it was then.
+ * Replaces the file. The content is written and synced under a temporary name, which is then renamed, and the folder is
+ * synced: a crash at any point leaves either the old file or the new one, never a partial one.
+ * @returns 'storage-failed' on failure; the old file is then unchanged.
  */
-export async function writeKept(path: string, content: Uint8Array): Promise<Result<void, Fault>> {
+export async function writeStateFile(path: string, content: Uint8Array): Promise<Result<void, Fault>> {
   const temporary = `${path}.new`;
   try {
     await mkdir(dirname(path), { recursive: true });
@@ -41,9 +41,9 @@
 
 /**
  * Reads the file.
- * @returns the content; undefined when there is no file; 'storage-failed' when it is damaged or cannot be read.
+ * @returns the content; undefined if there is no file; 'storage-failed' if it is damaged or cannot be read.
  */
-export async function readKept(path: string): Promise<Result<Uint8Array | undefined, Fault>> {
+export async function readStateFile(path: string): Promise<Result<Uint8Array | undefined, Fault>> {
   let bytes: Buffer;
   try {
     bytes = await readFile(path);
--- a/packages/directory/src/client/timing.ts
+++ b/packages/directory/src/client/timing.ts
@@ -1,22 +1,22 @@
-/** Times of the client, in milliseconds. */
+/** Intervals and timeouts of the client, in milliseconds. */
 export interface ClientTiming {
-  /** Between beats. */
+  /** Interval between heartbeats. */
   readonly beatMs: number;
-  /** How long a beat may take before the next instance is tried. */
+  /** Timeout of a heartbeat, after which the next control instance is tried. */
   readonly beatTimeoutMs: number;
-  /** A watch that is silent for longer is given up; heartbeats come every second. */
+  /** Time without an event after which a watch is ended. Sources send an event at least every second. */
   readonly silenceMs: number;
-  /** A control instance that is out of touch with its quorum for longer is left; elections are shorter. */
+  /** Time without a quorum after which the client leaves a control instance. Elections take less. */
   readonly unvouchedMs: number;
-  /** Longest wait between tries while nothing answers. */
+  /** Maximum delay between attempts while no source answers. */
   readonly retryMs: number;
   /** How long a neighbour is watched before control instances are tried again. */
   readonly neighbourMs: number;
-  /** How long `leave` waits to be heard. */
+  /** How long `leave` waits for an acknowledgement. */
   readonly leaveMs: number;
 }
 
-/** Fits control instances that send a heartbeat each second. */
+/** Matches control instances that send a keep-alive event every second. */
 export const defaultTiming: ClientTiming = {
   beatMs: 1_000,
   beatTimeoutMs: 800,
@@ -27,7 +27,7 @@
   leaveMs: 2_000,
 };
 
-/** Spreads a time evenly by a share to both sides, so that processes that started together drift apart. */
+/** Varies a duration uniformly by up to `share` in both directions, so that processes that started together spread. */
 export function jittered(ms: number, share: number, random: () => number = Math.random): number {
   return ms * (1 - share + 2 * share * random());
 }
--- a/packages/directory/src/client/viewBuilder.ts
+++ b/packages/directory/src/client/viewBuilder.ts
@@ -1,4 +1,4 @@
-/** Builds the view out of what arrives. */
+/** Builds the view from received documents and instances. */
 import { readAccepted } from '@jasmineroute/document';
 import type { StoredDocument } from '../message/index.js';
 import { bucketOf } from '../message/index.js';
@@ -6,32 +6,29 @@
 import type { Instance, VersionedDocument, View } from '../view/index.js';
 import { Interner } from './interner.js';
 
-/** Instances that arrived together. */
+/** Instance changes of one event. */
 export interface InstanceUpdate {
   readonly changed: readonly Instance[];
   readonly removed: readonly string[];
-  /** Buckets of names that `changed` holds completely: what is missing of these is gone. */
+  /** Buckets that `changed` lists completely: an instance of these that is missing was removed. */
   readonly buckets: readonly number[];
 }
 
-/** A document that was accepted but cannot be read here. */
+/** An accepted document that this process cannot parse. */
 export interface UnreadableDocument {
   readonly service: string;
   readonly revision: bigint;
   readonly problems: readonly string[];
 }
 
-/** What taking documents comes to. */
-export interface DocumentStep {
-  /** The view with them. */
+/** Result of planning a document update. */
+export interface DocumentPlan {
+  /** The view after the update. */
   readonly view: View;
   readonly unreadable: readonly UnreadableDocument[];
 }
 
-/**
- * The newest view and the ways to move it on. Views that were given out stay as they are: a part that changes
- * is copied, and the parts and entries that do not are shared.
- */
+/** Holds the newest view and updates it. Views are immutable: changed parts are copied, unchanged ones are shared. */
 export class ViewBuilder {
   private current: View = emptyView;
   private readonly unreadable = new Map<string, bigint>();
@@ -43,12 +40,12 @@
   }
 
   /**
-   * Works out the view with documents up to and with `revision`; `put` puts it in force. Older versions than those
-   * held are passed over: a source that lags, or one that was restored from a copy, would otherwise put an old
-   * document back in force. A document that cannot be read leaves the older one in force, and the view's revision
-   * below its own, so that it shows.
+   * Computes the view with documents up to and including `revision`; `applyDocuments` applies it. Versions older than
+   * the local ones are ignored: a source that lags behind or was restored from a backup would otherwise bring back an
+   * old document. When a document cannot be read, the previous version stays and the view's revision remains below that
+   * of the unreadable one, which makes the problem visible.
    */
-  plan(documents: readonly StoredDocument[], revision: bigint): DocumentStep {
+  plan(documents: readonly StoredDocument[], revision: bigint): DocumentPlan {
     const unreadable: UnreadableDocument[] = [];
     const next = new Map(this.current.documents);
     let changed = false;
@@ -66,20 +63,24 @@
       next.set(stored.service, versioned(stored, parsed.value));
       changed = true;
     }
-    const reached = this.reached(revision);
-    if (!changed && reached === this.current.revision) return { view: this.current, unreadable };
-    const view = { ...this.current, documents: changed ? next : this.current.documents, revision: reached };
+    const appliedRevision = this.reached(revision);
+    if (!changed && appliedRevision === this.current.revision) return { view: this.current, unreadable };
+    const view = {
+      ...this.current,
+      documents: changed ? next : this.current.documents,
+      revision: appliedRevision,
+    };
     return { view, unreadable };
   }
 
-  /** Puts the documents of a planned view in force. */
-  put({ documents, revision }: View): void {
+  /** Applies the documents of a planned view. */
+  applyDocuments({ documents, revision }: View): void {
     const { current } = this;
     if (documents === current.documents && revision === current.revision) return;
     this.current = { ...current, documents, revision };
   }
 
-  /** Takes instances, those of several events at once. */
+  /** Applies the instance changes of one or more events. */
   applyInstances(updates: readonly InstanceUpdate[]): void {
     if (updates.every(isEmpty)) return;
     const instances = new Map(this.current.instances);
@@ -94,7 +95,7 @@
     this.current = { ...this.current, instances };
   }
 
-  /** Takes whether the source is in touch with a quorum. */
+  /** Records whether the source is in touch with a quorum. */
   applyVouched(vouched: boolean): void {
     if (vouched !== this.current.vouched) this.current = { ...this.current, vouched };
   }
--- a/packages/directory/src/client/viewPersistence.ts
+++ b/packages/directory/src/client/viewPersistence.ts
@@ -1,37 +1,37 @@
-/** Keeps a view in files while the process runs, and brings it back at start. */
+/** Saves the view to disk while the process runs and restores it at start. */
 import type { Clock, Fault, Log } from '@jasmineroute/core';
 import type { Result } from 'neverthrow';
 import { directoryEvents } from '../events.js';
 import { documentFromMessage, instanceFromMessage } from '../message/index.js';
 import type { View } from '../view/index.js';
-import type { KeptAddresses, KeptState } from './persistedView.js';
+import type { PersistedAddresses, PersistedView } from './persistedView.js';
 import type { ViewBuilder } from './viewBuilder.js';
 
-/** Shortest time between two writings of instances, in milliseconds. */
-const INSTANCES_MS = 1_000;
-/** Longest time that a change of documents waits for the disk, in milliseconds. */
-const DISK_MS = 1_000;
+/** Minimum interval between writes of instances, in milliseconds. */
+const INSTANCE_WRITE_INTERVAL_MS = 1_000;
+/** Maximum time that a document change waits for the disk, in milliseconds. */
+const DOCUMENT_WRITE_TIMEOUT_MS = 1_000;
 
-/** Loads, then writes as the view changes. */
-export class ViewKeeper {
-  private waiting: (() => void) | undefined;
-  private writing: Promise<unknown> = Promise.resolve();
+/** Restores the view once, then saves its changes. */
+export class ViewPersistence {
+  private cancelPending: (() => void) | undefined;
+  private documentWrite: Promise<unknown> = Promise.resolve();
 
   constructor(
-    private readonly state: KeptState,
+    private readonly persisted: PersistedView,
     private readonly clock: Clock,
     private readonly log: Log,
   ) {}
 
-  /** Puts what was kept into the builder. A damaged file is passed over: a source has the same and newer. */
-  async load(builder: ViewBuilder): Promise<KeptAddresses> {
-    const documents = this.usable(await this.state.readDocuments());
-    const instances = this.usable(await this.state.readInstances());
+  /** Loads the saved view into the builder. A damaged file is ignored, as a source has the same or newer data. */
+  async load(builder: ViewBuilder): Promise<PersistedAddresses> {
+    const documents = this.valueOrLog(await this.persisted.readDocuments());
+    const instances = this.valueOrLog(await this.persisted.readInstances());
     const found = documents?.state;
     if (found !== undefined) {
       const stored = found.documents.map((message) => documentFromMessage(message));
       const step = builder.plan(stored, found.revision);
-      builder.put(step.view);
+      builder.applyDocuments(step.view);
       for (const unreadable of step.unreadable)
         this.log.event(directoryEvents.documentUnreadable, { ...unreadable });
       this.log.event(directoryEvents.stateFileLoaded, { revision: found.revision });
@@ -42,53 +42,53 @@
   }
 
   /**
-   * Writes documents before they come into force: a process that restarts right after would otherwise start
-   * from older ones. A disk that fails or hangs does not hold them back for longer than a second.
+   * Writes documents before they are applied; a process that restarts right afterwards would otherwise start with older
+   * ones. A disk that fails or hangs delays them by at most one second.
    */
-  async keepDocuments(view: View, addresses: KeptAddresses): Promise<void> {
+  async saveDocuments(view: View, addresses: PersistedAddresses): Promise<void> {
     const done = new AbortController();
-    const written = this.state.writeDocuments(view, addresses).then((result) => {
-      if (result.isErr()) this.failed(result.error.message);
+    const written = this.persisted.writeDocuments(view, addresses).then((result) => {
+      if (result.isErr()) this.logFailure(result.error.message);
       return true;
     });
-    this.writing = written;
-    const late = this.clock.sleep(DISK_MS, done.signal).then(
+    this.documentWrite = written;
+    const timeout = this.clock.sleep(DOCUMENT_WRITE_TIMEOUT_MS, done.signal).then(
       () => false,
       () => true,
     );
-    if (!(await Promise.race([written, late]))) this.failed('the disk does not answer');
+    if (!(await Promise.race([written, timeout]))) this.logFailure('documents not written within 1 s');
     done.abort();
   }
 
-  /** Writes instances after a while, together with what changes until then. */
-  keepInstances(view: () => View): void {
-    this.waiting ??= this.clock.after(INSTANCES_MS, () => {
-      this.waiting = undefined;
+  /** Schedules a write of instances, which includes all changes up to that time. */
+  scheduleInstances(view: () => View): void {
+    this.cancelPending ??= this.clock.after(INSTANCE_WRITE_INTERVAL_MS, () => {
+      this.cancelPending = undefined;
       void this.writeInstances(view());
     });
   }
 
-  /** Writes what waits. */
+  /** Finishes pending writes. */
   async close(view: View): Promise<void> {
-    await this.writing;
-    if (this.waiting === undefined) return;
-    this.waiting();
-    this.waiting = undefined;
+    await this.documentWrite;
+    if (this.cancelPending === undefined) return;
+    this.cancelPending();
+    this.cancelPending = undefined;
     await this.writeInstances(view);
   }
 
   private async writeInstances(view: View): Promise<void> {
-    const result = await this.state.writeInstances(view);
-    if (result.isErr()) this.failed(result.error.message);
+    const result = await this.persisted.writeInstances(view);
+    if (result.isErr()) this.logFailure(result.error.message);
   }
 
-  private usable<T>(result: Result<T | undefined, Fault>): T | undefined {
+  private valueOrLog<T>(result: Result<T | undefined, Fault>): T | undefined {
     if (result.isOk()) return result.value;
     this.log.event(directoryEvents.stateFileIgnored, { problem: result.error.message });
     return undefined;
   }
 
-  private failed(problem: string): void {
+  private logFailure(problem: string): void {
     this.log.event(directoryEvents.stateFileWriteFailed, { problem });
   }
 }
--- a/packages/directory/src/client/wakeup.ts
+++ b/packages/directory/src/client/wakeup.ts
@@ -1,24 +1,24 @@
-/** A sleep that can be cut short. */
+/** A sleep that can be interrupted. */
 import type { Clock } from '@jasmineroute/core';
 
-/** Wakes one sleeping task; a call while nobody sleeps cuts the next sleep short. */
+/** Wakes one sleeping task. A trigger while no task sleeps ends the next sleep at once. */
 export class Wakeup {
   private pending = false;
   private wake: (() => void) | undefined;
 
-  /** Ends the sleep. */
-  call(): void {
+  /** Ends the current or the next sleep. */
+  trigger(): void {
     this.pending = true;
     this.wake?.();
   }
 
-  /** Resolves after `ms` milliseconds, after `call`, or when `signal` is aborted. */
+  /** Resolves after `ms` milliseconds, after `trigger`, or when `signal` is aborted. */
   async sleep(clock: Clock, ms: number, signal: AbortSignal): Promise<void> {
-    if (!this.pending && !signal.aborted) await this.rest(clock, ms, signal);
+    if (!this.pending && !signal.aborted) await this.wait(clock, ms, signal);
     this.pending = false;
   }
 
-  private rest(clock: Clock, ms: number, signal: AbortSignal): Promise<void> {
+  private wait(clock: Clock, ms: number, signal: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
       const end = (): void => {
         cancel();
--- a/packages/directory/src/client/watchStream.ts
+++ b/packages/directory/src/client/watchStream.ts
@@ -1,4 +1,4 @@
-/** One watch of one source, from its opening to its end. */
+/** One watch stream from one source. */
 import { createClient } from '@connectrpc/connect';
 import type { Cancellation, Clock, Log, Metrics } from '@jasmineroute/core';
 import { controlMessage, faultOf } from '@jasmineroute/protocol';
@@ -9,28 +9,28 @@
 import { jittered } from './timing.js';
 import type { ClientTiming } from './timing.js';
 
-/** Share by which the time with a neighbour varies. */
+/** Random variation of the time for which a neighbour is watched, as a share of it. */
 const NEIGHBOUR_JITTER = 0.5;
 
 /**
  * Why a watch ended:
- * - silent: not even heartbeats came;
- * - unvouched: the control instance stayed out of touch with its quorum;
- * - lost: the connection or the source ended it, or could not be reached;
- * - misfit: a change did not fit what is held;
- * - tried: long enough with a neighbour, control instances may be back;
- * - stopped: this process stops.
+ * - silent: no event arrived in time, not even a keep-alive;
+ * - unvouched: the control instance remained without a quorum;
+ * - lost: the stream ended or failed, or the source was unreachable;
+ * - misfit: an event did not apply to the local view, so a new snapshot is needed;
+ * - tried: the time for a neighbour is over, control instances are tried again;
+ * - stopped: this process is stopping.
  */
 export type WatchEnd = 'silent' | 'unvouched' | 'lost' | 'misfit' | 'tried' | 'stopped';
 
-/** Who is watched. */
+/** The source of a watch. */
 export interface WatchedSource {
   /** host:port. */
   readonly address: string;
   readonly kind: 'control' | 'neighbour';
 }
 
-/** What a watch works with. */
+/** Dependencies of a watch. */
 export interface WatchContext {
   readonly peers: Peers;
   readonly clock: Clock;
@@ -39,35 +39,35 @@
   readonly timing: ClientTiming;
   readonly addresses: ControlAddresses;
   readonly dataCentre: () => string;
-  /** A new watch begins; gives its request. */
+  /** Starts a new watch and returns its request. */
   readonly request: () => controlMessage.WatchRequest;
-  /** Takes an event; false: it did not fit what is held, and all must be sent again. */
+  /** Applies an event. Resolves to false if it does not apply to the local view, so that a new snapshot is needed. */
   readonly apply: (event: controlMessage.WatchEvent, source: WatchedSource) => Promise<boolean>;
-  /** The watch ended, so what is held may be old. */
-  readonly lost: () => void;
-  /** Addresses of processes that serve what they know while no control instance answers. */
+  /** Called when the watch has ended, so that the view may be outdated. */
+  readonly onSourceLost: () => void;
+  /** Addresses of processes that serve their view while no control instance answers. */
   readonly neighbours: () => readonly string[];
 }
 
-/** How a watch went. */
+/** Result of a watch. */
 export interface WatchOutcome {
   readonly end: WatchEnd;
-  /** Whether the source vouched at least once. */
+  /** Whether the source was in touch with a quorum at least once. */
   readonly vouched: boolean;
 }
 
-/** How long a source is waited for, in milliseconds. */
+/** Time limits of a watch, in milliseconds. */
 export interface WatchLimits {
-  /** A control instance that is out of touch with its quorum. */
+  /** For a control instance without a quorum. */
   readonly unvouchedMs: number;
-  /** The first event. */
+  /** For the first event. */
   readonly firstEventMs: number;
 }
 
-/** Follows one source. */
+/** Reads the events of one source. */
 export class WatchStream {
   private end: WatchEnd = 'lost';
-  private silence: Cancellation = () => undefined;
+  private cancelSilenceTimer: Cancellation = () => undefined;
   private unvouchedSince: number | undefined;
   private vouched = false;
   private limit: CallLimit | undefined;
@@ -78,46 +78,47 @@
     private readonly limits: WatchLimits,
   ) {}
 
-  /** Runs until the source is to be left. */
+  /** Runs until the watch ends for one of the reasons of `WatchEnd`. */
   async run(stop: AbortSignal): Promise<WatchOutcome> {
     const { clock, timing, log } = this.context;
     const { address, kind } = this.source;
     const stayMs = kind === 'control' ? undefined : jittered(timing.neighbourMs, NEIGHBOUR_JITTER);
-    const tried = stayMs === undefined ? undefined : clock.after(stayMs, this.giveUp('tried'));
+    const cancelNeighbourTimer =
+      stayMs === undefined ? undefined : clock.after(stayMs, this.abortWith('tried'));
     const limit = new CallLimit(stop);
     this.limit = limit;
-    this.awaitEvent(this.limits.firstEventMs);
+    this.restartSilenceTimer(this.limits.firstEventMs);
     try {
-      await this.follow(limit.signal);
+      await this.readEvents(limit.signal);
     } catch (error) {
       if (!limit.signal.aborted)
         log.event(directoryEvents.watchLost, { address, problem: faultOf(error).message });
     } finally {
-      this.silence();
-      tried?.();
+      this.cancelSilenceTimer();
+      cancelNeighbourTimer?.();
       limit.abort('left');
       limit.release();
     }
     return { end: stop.aborted ? 'stopped' : this.end, vouched: this.vouched };
   }
 
-  private async follow(signal: AbortSignal): Promise<void> {
+  private async readEvents(signal: AbortSignal): Promise<void> {
     const { peers, log, addresses, apply, request } = this.context;
     const { address, kind } = this.source;
     const client = createClient(controlMessage.Directory, peers.transport(address));
     let opened = false;
-    addresses.asked(address);
+    addresses.recordRequest(address);
     for await (const event of client.watch(request(), { signal })) {
-      this.awaitEvent(this.context.timing.silenceMs);
+      this.restartSilenceTimer(this.context.timing.silenceMs);
       if (!opened) log.event(directoryEvents.watchOpened, { address, kind });
       opened = true;
-      addresses.answered(address);
-      addresses.asked(address);
+      addresses.recordResponse(address);
+      addresses.recordRequest(address);
       if (!(await apply(event, this.source))) {
         this.end = 'misfit';
         return;
       }
-      if (kind === 'control' && !this.isTrusted(event.vouched)) {
+      if (kind === 'control' && !this.isQuorumRecent(event.vouched)) {
         this.end = 'unvouched';
         return;
       }
@@ -125,26 +126,27 @@
   }
 
   /**
-   * A connection can go silent for good while new ones work: something between the ends has lost track of it, and
-   * neither end gets an error. Heartbeats come each second, so longer silence shows it, and the watch is left.
+   * Restarts the timer that ends a silent watch. A connection can stop delivering data while new ones work, without an
+   * error at either end, for example when a middlebox has dropped its state. Keep-alive events arrive every second, so
+   * a longer silence reveals this.
    */
-  private awaitEvent(ms: number): void {
-    this.silence();
-    this.silence = this.context.clock.after(ms, this.giveUp('silent'));
+  private restartSilenceTimer(ms: number): void {
+    this.cancelSilenceTimer();
+    this.cancelSilenceTimer = this.context.clock.after(ms, this.abortWith('silent'));
   }
 
   /**
-   * An isolated control instance goes on serving what it had. It finds out within seconds and says so; whoever
-   * stays with it would miss every change.
+   * Whether the source was in touch with a quorum within the limit. An isolated control instance goes on serving its
+   * old state; it reports the lost quorum within seconds, and a watcher that stayed with it would miss every change.
    */
-  private isTrusted(vouched: boolean): boolean {
+  private isQuorumRecent(vouched: boolean): boolean {
     const now = this.context.clock.monotonic();
     this.vouched ||= vouched;
     this.unvouchedSince = vouched ? undefined : (this.unvouchedSince ?? now);
     return this.unvouchedSince === undefined || now - this.unvouchedSince <= this.limits.unvouchedMs;
   }
 
-  private giveUp(end: WatchEnd): () => void {
+  private abortWith(end: WatchEnd): () => void {
     return () => {
       this.end = end;
       this.limit?.abort(end);
--- a/packages/directory/src/client/watchTask.ts
+++ b/packages/directory/src/client/watchTask.ts
@@ -1,21 +1,21 @@
-/** The task that follows documents and instances. */
+/** Keeps a watch on documents and instances, switching between sources. */
 import { directoryEvents } from '../events.js';
 import { directoryMetrics } from '../metrics.js';
 import { WatchStream } from './watchStream.js';
 import type { WatchContext, WatchOutcome, WatchLimits, WatchedSource } from './watchStream.js';
 
-/** How much longer a round without a vouched instance makes the stays of the next. */
-const UNVOUCHED_GROWTH = 2;
-/** Longest stay with an unvouched instance while all are. */
+/** Factor by which the limit for instances without a quorum grows after a round in which none had one. */
+const UNVOUCHED_BACKOFF_FACTOR = 2;
+/** Maximum of that limit, in milliseconds. */
 const MAX_UNVOUCHED_MS = 30_000;
-/** Longest wait for a first event, in times of the bound on silence. */
+/** Maximum wait for the first event, as a multiple of the silence limit. */
 const MAX_FIRST_EVENT_FACTOR = 4;
-/** Longest pause after the first failure: it spreads the watchers of an instance that went. */
-const FIRST_PAUSE_MS = 200;
-/** Longest pause before the first watch: it spreads processes that start together. */
-const START_PAUSE_MS = 100;
+/** Maximum delay after the first failure, in milliseconds. Spreads out the watchers of an instance that stopped. */
+const INITIAL_BACKOFF_MS = 200;
+/** Maximum delay before the first watch, in milliseconds. Spreads out processes that start together. */
+const START_JITTER_MS = 100;
 
-/** Watches one source after the other. */
+/** Watches one source at a time. */
 export class WatchTask {
   private failures = 0;
   private unvouchedMs: number;
@@ -26,43 +26,43 @@
 
   /** Runs until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
-    await this.pause(START_PAUSE_MS, signal);
+    await this.pause(START_JITTER_MS, signal);
     while (!signal.aborted) {
-      await this.controlRound(signal);
-      await this.neighbourTurn(signal);
+      await this.watchControls(signal);
+      await this.watchNeighbour(signal);
     }
   }
 
-  /** Goes through the control instances, and begins anew after each that was good. */
-  private async controlRound(signal: AbortSignal): Promise<void> {
+  /** Tries each control instance in turn, and starts over after each one that was in touch with a quorum. */
+  private async watchControls(signal: AbortSignal): Promise<void> {
     const { addresses, dataCentre, timing } = this.context;
     const tried = new Set<string>();
     for (;;) {
       const address = addresses.order(dataCentre()).find((one) => !tried.has(one));
       if (address === undefined || signal.aborted) break;
-      const outcome = await this.stay({ address, kind: 'control' }, signal);
+      const outcome = await this.watchSource({ address, kind: 'control' }, signal);
       if (outcome.vouched) {
         tried.clear();
         this.unvouchedMs = timing.unvouchedMs;
       }
       tried.add(address);
-      await this.rest(outcome, signal);
+      await this.pauseAfter(outcome, signal);
     }
-    // Without a quorum anywhere, moving on every two seconds would only load the instances that are left.
-    this.unvouchedMs = Math.min(MAX_UNVOUCHED_MS, this.unvouchedMs * UNVOUCHED_GROWTH);
+    // When no instance has a quorum, switching every two seconds would only add load to the remaining ones.
+    this.unvouchedMs = Math.min(MAX_UNVOUCHED_MS, this.unvouchedMs * UNVOUCHED_BACKOFF_FACTOR);
   }
 
-  private async neighbourTurn(signal: AbortSignal): Promise<void> {
+  private async watchNeighbour(signal: AbortSignal): Promise<void> {
     const candidates = this.context.neighbours();
     const address = candidates[Math.floor(Math.random() * candidates.length)];
     if (signal.aborted) return;
     if (address === undefined) await this.backOff(signal);
-    else await this.rest(await this.stay({ address, kind: 'neighbour' }, signal), signal);
+    else await this.pauseAfter(await this.watchSource({ address, kind: 'neighbour' }, signal), signal);
   }
 
   /**
-   * Longer for the first event after each failure: under load all sources are slow, and leaving each before it
-   * answers would only add to the load.
+   * Time limits of the next watch. The wait for the first event grows with each failure: under load all sources are
+   * slow, and leaving each one before it answers would only add to the load.
    */
   private limits(): WatchLimits {
     const { silenceMs } = this.context.timing;
@@ -70,42 +70,42 @@
     return { unvouchedMs: this.unvouchedMs, firstEventMs };
   }
 
-  private async stay(source: WatchedSource, signal: AbortSignal): Promise<WatchOutcome> {
-    const { addresses, log, metrics, lost } = this.context;
+  private async watchSource(source: WatchedSource, signal: AbortSignal): Promise<WatchOutcome> {
+    const { addresses, log, metrics, onSourceLost } = this.context;
     const { address, kind } = source;
     const outcome = await new WatchStream(this.context, source, this.limits()).run(signal);
     if (outcome.end === 'stopped') return outcome;
-    lost();
+    onSourceLost();
     metrics.count(directoryMetrics.watchMoves, 1, { reason: outcome.end });
-    if (outcome.end !== 'misfit') addresses.failed(address);
+    if (outcome.end !== 'misfit') addresses.recordFailure(address);
     if (outcome.end === 'silent') {
       log.event(directoryEvents.watchSilent, { address });
-      if (kind === 'neighbour' || this.isDead(address)) this.drop(address);
+      if (kind === 'neighbour' || this.isConnectionSilent(address)) this.dropConnection(address);
     }
     if (outcome.end === 'unvouched') log.event(directoryEvents.watchWithoutQuorum, { address });
     return outcome;
   }
 
-  /** Whether the connection is silent, not the watch alone: nothing else was answered on it either. */
-  private isDead(address: string): boolean {
+  /** Whether the whole connection is silent, not only the watch: no other call on it was answered either. */
+  private isConnectionSilent(address: string): boolean {
     const { addresses, timing } = this.context;
-    return addresses.silentFor(address) > timing.silenceMs / 2;
+    return addresses.unansweredMs(address) > timing.silenceMs / 2;
   }
 
-  private drop(address: string): void {
+  private dropConnection(address: string): void {
     this.context.peers.drop(address);
-    this.context.addresses.dropped(address);
+    this.context.addresses.recordDisconnect(address);
   }
 
-  /** After a good watch the next one comes soon; otherwise later with each failure in a row. */
-  private async rest(outcome: WatchOutcome, signal: AbortSignal): Promise<void> {
+  /** Waits before the next watch; the backoff starts over after a watch that was in touch with a quorum. */
+  private async pauseAfter(outcome: WatchOutcome, signal: AbortSignal): Promise<void> {
     if (outcome.vouched) this.failures = 0;
     await this.backOff(signal);
   }
 
-  /** A random wait that grows with the failures in a row, so that a herd does not come back at one time. */
+  /** Waits a random time with a limit that grows with consecutive failures, so that clients do not return at once. */
   private async backOff(signal: AbortSignal): Promise<void> {
-    const longest = FIRST_PAUSE_MS * 2 ** Math.min(this.failures, 10);
+    const longest = INITIAL_BACKOFF_MS * 2 ** Math.min(this.failures, 10);
     this.failures += 1;
     await this.pause(Math.min(this.context.timing.retryMs, longest), signal);
   }
--- a/scripts/guards/list.mjs
+++ b/scripts/guards/list.mjs
@@ -87,8 +87,8 @@
   {
     name: 'bound on the silence of a watch',
     file: 'packages/directory/src/client/watchStream.ts',
-    find: "    this.silence = this.context.clock.after(ms, this.giveUp('silent'));\n",
-    put: "    this.silence = this.context.clock.after(ms * 1_000, this.giveUp('silent'));\n",
+    find: "    this.cancelSilenceTimer = this.context.clock.after(ms, this.abortWith('silent'));\n",
+    put: "    this.cancelSilenceTimer = this.context.clock.after(ms * 1_000, this.abortWith('silent'));\n",
     also: {
       file: 'packages/protocol/src/transport/peers.ts',
       find: 'const IDLE_PING_MS = 1_000;',
