--- a/packages/directory/src/call/callLimit.ts
+++ b/packages/directory/src/call/callLimit.ts
@@ -1,45 +1,45 @@
-/** Ends calls: after a time, or with the task that made them. */
+/** Aborts calls after a timeout or when their task stops. */
 import type { Cancellation, Clock } from '@jasmineroute/core';
 
 /**
- * A signal for one call. It is taken off the task's own signal when the call is over: `AbortSignal.any` would leave
- * something behind on that one for each call, for as long as the process lives.
+ * Abort signal of one call. Its listener on the task's signal is removed when the call is over, because
+ * `AbortSignal.any` would leak memory on the task's signal with each call.
  */
 export class CallLimit {
   private readonly controller = new AbortController();
-  private readonly stopped = (): void => {
+  private readonly onStop = (): void => {
     this.controller.abort(this.stop?.reason);
   };
-  private cancel: Cancellation = () => undefined;
+  private cancelTimeout: Cancellation = () => undefined;
 
   /** @param stop signal of the task that makes the call */
   constructor(private readonly stop?: AbortSignal) {
-    if (stop?.aborted === true) this.stopped();
-    stop?.addEventListener('abort', this.stopped, { once: true });
+    if (stop?.aborted === true) this.onStop();
+    stop?.addEventListener('abort', this.onStop, { once: true });
   }
 
-  /** To give to the call. */
+  /** Signal to pass to the call. */
   get signal(): AbortSignal {
     return this.controller.signal;
   }
 
-  /** Ends the call after `ms` milliseconds. A later call of it sets the time anew. */
+  /** Aborts the call after `ms` milliseconds. Calling it again restarts the timeout. */
   after(clock: Clock, ms: number): this {
-    this.cancel();
-    this.cancel = clock.after(ms, () => {
+    this.cancelTimeout();
+    this.cancelTimeout = clock.after(ms, () => {
       this.abort('no answer in time');
     });
     return this;
   }
 
-  /** Ends the call now. */
+  /** Aborts the call now. */
   abort(reason: string): void {
     this.controller.abort(new Error(reason));
   }
 
-  /** The call is over. */
+  /** Releases the timer and the listener when the call is over. */
   release(): void {
-    this.cancel();
-    this.stop?.removeEventListener('abort', this.stopped);
+    this.cancelTimeout();
+    this.stop?.removeEventListener('abort', this.onStop);
   }
 }
--- a/packages/directory/src/call/claimClient.ts
+++ b/packages/directory/src/call/claimClient.ts
@@ -8,23 +8,23 @@
 import { controlMessage } from '@jasmineroute/protocol';
 import type { Controls } from './controls.js';
 
-/** A claim to take. */
+/** Request for a claim. */
 export type ClaimRequest = MessageInitShape<typeof controlMessage.ClaimRequestSchema>;
-/** How a claimed attempt went. */
+/** Outcome of a claimed attempt. */
 export type SettleRequest = MessageInitShape<typeof controlMessage.SettleRequestSchema>;
 
 function unavailable(cause: Fault): Fault {
   return fault('claims-unavailable', `no claim: ${cause.message}`, { ran: cause.ran, cause });
 }
 
-/** Takes and settles claims. Both carry the attempt's id, so that resends to other instances are harmless. */
+/** Takes and settles claims. Requests carry the attempt's id, so that retries on other control instances are safe. */
 export class ClaimClient {
   constructor(private readonly controls: Controls) {}
 
   /**
-   * Takes the key for an attempt.
-   * @returns who holds it; or 'claims-unavailable', whose `ran` speaks of the claim itself: 'may-have-run' means
-   * that the key may be held for the attempt, and that it should be settled as released.
+   * Claims the key for an attempt.
+   * @returns the state of the claim; or 'claims-unavailable', whose `ran` refers to the claim itself: 'may-have-run'
+   * means that the attempt may hold the key and should be settled as released.
    */
   async claim(
     request: ClaimRequest,
@@ -38,7 +38,7 @@
     return answer.mapErr(unavailable);
   }
 
-  /** Records how the attempt went. */
+  /** Records the outcome of the attempt. */
   async settle(request: SettleRequest, timeoutMs: number): Promise<Result<void, Fault>> {
     const answer = await this.controls.call(
       (transport, signal) => createClient(controlMessage.Claims, transport).settle(request, { signal }),
--- a/packages/directory/src/call/controlAddresses.ts
+++ b/packages/directory/src/call/controlAddresses.ts
@@ -1,30 +1,29 @@
-/** Which control instance to ask. */
+/** Orders the addresses of control instances for calls. */
 
-/** How long an address that failed is passed over, in milliseconds. */
-const PENALTY_MS = 3_000;
+/** Time for which a failed address is ranked last, in milliseconds. */
+const FAILURE_PENALTY_MS = 3_000;
 
-/** What is known of an address. */
+/** State of one address. */
 interface AddressRecord {
   dataCentre: string;
   /** Monotonic time of the last failure. */
   failedAt: number;
-  /** Monotonic time since which an answer is waited for; undefined: nothing is open. */
+  /** Monotonic time of the oldest request since the last answer; undefined if there is none. */
   unansweredSince?: number;
-  /** Random order among equals. */
+  /** Random order among addresses of equal rank. */
   readonly tieBreak: number;
 }
 
 /**
- * The known addresses of control instances, those of the settings and those learnt since, in the order in
- * which to ask them: own data centre first, recently failed ones last, a stable random order otherwise, so
- * that a herd of processes spreads over the instances.
+ * Configured and discovered addresses of control instances, in the order in which to call them: own data centre first,
+ * recently failed ones last, otherwise in a stable random order that spreads processes over the instances.
  */
 export class ControlAddresses {
   private readonly records = new Map<string, AddressRecord>();
   private discovered = new Set<string>();
 
   /**
-   * @param configured Addresses from the settings, host:port; they are never forgotten.
+   * @param configured Addresses from the settings, host:port; never removed.
    * @param now Monotonic milliseconds.
    */
   constructor(
@@ -35,7 +34,7 @@
     for (const address of configured) this.add(address, '');
   }
 
-  /** Replaces the addresses learnt from documents and instances; `dataCentre` may be empty when not known. */
+  /** Replaces the addresses discovered in documents and instances, with their data centres (empty if unknown). */
   setDiscovered(found: ReadonlyMap<string, string>): void {
     this.discovered = new Set(found.keys());
     for (const [address, dataCentre] of found) this.add(address, dataCentre);
@@ -44,13 +43,13 @@
     }
   }
 
-  /** Notes that a call to an address failed. */
+  /** Records a failed call to an address. */
   recordFailure(address: string): void {
     const record = this.records.get(address);
     if (record !== undefined) record.failedAt = this.now();
   }
 
-  /** Notes that an address answered. */
+  /** Records an answer from an address. */
   recordResponse(address: string): void {
     const record = this.records.get(address);
     if (record === undefined) return;
@@ -58,30 +57,30 @@
     record.unansweredSince = undefined;
   }
 
-  /** Notes that something is asked of an address. */
+  /** Records a request to an address. */
   recordRequest(address: string): void {
     const record = this.records.get(address);
     if (record !== undefined) record.unansweredSince ??= this.now();
   }
 
-  /** Milliseconds for which an address has been asked without any answer, whoever asked. */
+  /** Milliseconds for which requests to an address, from any caller, have had no answer. */
   unansweredMs(address: string): number {
     const since = this.records.get(address)?.unansweredSince;
     return since === undefined ? 0 : this.now() - since;
   }
 
-  /** Notes that its connection was cut, so that a new one begins with a clean record. */
+  /** Records that the connection to an address was closed, so that the new one starts without unanswered requests. */
   recordDisconnect(address: string): void {
     const record = this.records.get(address);
     if (record !== undefined) record.unansweredSince = undefined;
   }
 
-  /** All addresses, best first. */
+  /** All addresses in the order in which to call them. */
   order(dataCentre = ''): string[] {
     const rank = (address: string): [number, number, number] => {
       const record = this.records.get(address);
       if (record === undefined) return [0, 0, 0];
-      const failing = this.now() - record.failedAt < PENALTY_MS;
+      const failing = this.now() - record.failedAt < FAILURE_PENALTY_MS;
       const near = record.dataCentre === '' || record.dataCentre === dataCentre;
       return [failing ? record.failedAt : Number.NEGATIVE_INFINITY, near ? 0 : 1, record.tieBreak];
     };
--- a/packages/directory/src/call/controls.spec.ts
+++ b/packages/directory/src/call/controls.spec.ts
@@ -31,8 +31,8 @@
   return server.address;
 }
 
-/** Takes connections and says nothing. */
-async function silent(): Promise<string> {
+/** Accepts connections and never answers. */
+async function silentServer(): Promise<string> {
   const sockets = new Set<Socket>();
   const server = createServer((socket) => sockets.add(socket)).listen(0, '127.0.0.1');
   await once(server, 'listening');
@@ -43,7 +43,7 @@
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-/** Asks them in this order. */
+/** Calls the given addresses in this order. */
 function controlsOf(...controls: string[]): Controls {
   const peers = new Peers();
   let draw = 0;
@@ -67,23 +67,22 @@
 const GONE = '127.0.0.1:1';
 
 describe('Controls', () => {
-  it('goes on past instances that are gone, silent or without a quorum', async () => {
+  it('fails over from instances that are gone, silent or without a quorum', async () => {
     const partitioned = await control(fault('no-quorum', 'cut off', { ran: 'not-run' }));
-    const answer = await take(controlsOf(GONE, await silent(), partitioned, await control()), 10_000);
+    const answer = await take(controlsOf(GONE, await silentServer(), partitioned, await control()), 10_000);
     expect(answer._unsafeUnwrap().fence).toBe(7n);
   });
 
-  it('says not run only when that is proved of every attempt', async () => {
-    // Symptom: a caller is told that its call was not run, and it was.
-    // Sequence: one instance takes the call and falls silent; the next refuses connections.
-    // Cause: the answer rests on the last attempt.
+  it('reports not-run only if it holds for every attempt', async () => {
+    // A caller must not be told that its call did not run when it did. One instance may accept the call and go silent
+    // while the next refuses connections, so the last attempt alone does not decide.
     const refused = await take(controlsOf(GONE), 300);
     expect(refused._unsafeUnwrapErr()).toMatchObject({ kind: 'target-unreachable', ran: 'not-run' });
-    const mixed = await take(controlsOf(await silent(), GONE), 1_600);
+    const mixed = await take(controlsOf(await silentServer(), GONE), 1_600);
     expect(mixed._unsafeUnwrapErr()).toMatchObject({ kind: 'target-unreachable', ran: 'may-have-run' });
   });
 
-  it('gives back what the service decided, with its kind, and asks nobody else', async () => {
+  it('returns a decision of the service with its kind, without trying another instance', async () => {
     const forbidden = fault('forbidden', 'not yours');
     const answer = await take(controlsOf(await control(forbidden)));
     expect(answer._unsafeUnwrapErr()).toMatchObject({
@@ -93,7 +92,7 @@
     });
   });
 
-  it('makes a failed claim a fault of claims', async () => {
+  it('returns claims-unavailable for a failed claim', async () => {
     const claims = new ClaimClient(controlsOf(GONE));
     const answer = await claims.claim({ service: 's', key: 'k', attemptId: 'a' }, 200);
     expect(answer._unsafeUnwrapErr()).toMatchObject({ kind: 'claims-unavailable', ran: 'not-run' });
--- a/packages/directory/src/call/controls.ts
+++ b/packages/directory/src/call/controls.ts
@@ -1,4 +1,4 @@
-/** Unary calls to whichever control instance answers. */
+/** Unary calls to control instances with failover. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { Transport } from '@connectrpc/connect';
@@ -10,48 +10,48 @@
 import { CallLimit } from './callLimit.js';
 import { ControlAddresses } from './controlAddresses.js';
 
-/** Longest wait for one instance before the next one is asked, in milliseconds, unless the caller wishes otherwise. */
-const ATTEMPT_MS = 1_500;
-/** Shortest wait that makes an attempt worth sending. */
-const LEAST_ATTEMPT_MS = 20;
-/** Pause before the addresses are gone through again. */
+/** Default timeout of one attempt before the next instance is tried, in milliseconds. */
+const ATTEMPT_TIMEOUT_MS = 1_500;
+/** Minimum remaining time for another attempt, in milliseconds. */
+const MIN_ATTEMPT_MS = 20;
+/** Pause before all addresses are tried again, in milliseconds. */
 const ROUND_PAUSE_MS = 100;
 
-/** What the helper needs. */
+/** Dependencies and settings of the calls. */
 export interface ControlsOptions {
   readonly controls: readonly string[];
   readonly peers: Peers;
   readonly clock: Clock;
   readonly metrics: Metrics;
-  /** Shared with the directory client, so that both know which instances fail. */
+  /** Shared with the directory client, so that both see which instances fail. */
   readonly addresses?: ControlAddresses;
   readonly dataCentre?: string;
-  /** Longest wait for one instance before the next one is asked, milliseconds. */
+  /** Timeout of one attempt before the next instance is tried, in milliseconds. */
   readonly attemptMs?: number;
 }
 
-/** One call over a transport. It must carry what makes a resend harmless, as an attempt's id. */
+/** One call over a transport. It must be idempotent, for example by an attempt id, as it may be sent several times. */
 export type ControlCall<T> = (transport: Transport, signal: AbortSignal) => Promise<T>;
 
-/** Calls with fail-over, and the truth about whether a failed call ran. */
+/** Calls with failover that report whether a failed call may have run. */
 export class Controls {
   private readonly addresses: ControlAddresses;
   private preferred = '';
   private readonly attemptMs: number;
 
   constructor(private readonly options: ControlsOptions) {
-    this.attemptMs = options.attemptMs ?? ATTEMPT_MS;
+    this.attemptMs = options.attemptMs ?? ATTEMPT_TIMEOUT_MS;
     this.addresses =
       options.addresses ?? new ControlAddresses(options.controls, () => options.clock.monotonic());
   }
 
-  /** Asks an instance before all others, until it fails; an address that isn't known is left aside. */
+  /** Tries an instance before all others until it fails. An unknown address is ignored. */
   prefer(address: string): void {
     if (address !== '') this.preferred = address;
   }
 
   /**
-   * Asks one instance after the other until one answers or `timeoutMs` have passed.
+   * Tries one instance after the other until one answers or `timeoutMs` have passed.
    * @returns the answer; or the last fault, whose `ran` is 'not-run' only if that holds for every attempt.
    */
   async call<T>(call: ControlCall<T>, timeoutMs: number): Promise<Result<T, Fault>> {
@@ -60,22 +60,22 @@
     const left = (): number => deadline - clock.monotonic();
     let last = fault('no-quorum', 'no control instance is known');
     let mayHaveRun = false;
-    while (left() > LEAST_ATTEMPT_MS) {
-      for (const address of this.order()) {
-        if (left() <= LEAST_ATTEMPT_MS) break;
+    while (left() > MIN_ATTEMPT_MS) {
+      for (const address of this.orderedAddresses()) {
+        if (left() <= MIN_ATTEMPT_MS) break;
         const outcome = await this.attempt(address, call, Math.min(left(), this.attemptMs));
         if (outcome.isOk()) return ok(outcome.value);
         last = outcome.error;
         mayHaveRun ||= last.ran !== 'not-run';
-        if (!movesOn(last)) return err(settled(last, mayHaveRun));
+        if (!isRetryable(last)) return err(withRan(last, mayHaveRun));
         this.options.metrics.count(directoryMetrics.callRetries);
       }
       await clock.sleep(Math.min(ROUND_PAUSE_MS, Math.max(0, left())));
     }
-    return err(settled(last, mayHaveRun));
+    return err(withRan(last, mayHaveRun));
   }
 
-  private order(): string[] {
+  private orderedAddresses(): string[] {
     const order = this.addresses.order(this.options.dataCentre);
     const { preferred } = this;
     if (!order.includes(preferred)) return order;
@@ -90,30 +90,31 @@
       this.addresses.recordResponse(address);
       return ok(answer);
     } catch (error) {
-      return err(this.failed(address, error, limit.signal.aborted, ms));
+      return err(this.recordFailure(address, error, limit.signal.aborted, ms));
     } finally {
       limit.release();
     }
   }
 
-  private failed(address: string, error: unknown, silent: boolean, ms: number): Fault {
-    const problem = silent ? noAnswer(address, error) : faultOf(error);
+  private recordFailure(address: string, error: unknown, timedOut: boolean, ms: number): Fault {
+    const problem = timedOut ? timeoutFault(address, error) : faultOf(error);
     if (address === this.preferred) this.preferred = '';
     if (isTransportFault(problem)) this.addresses.recordFailure(address);
-    // A connection can go silent for good while new ones work: only a new one can tell. One on which
-    // something else was heard meanwhile is left to its other calls.
-    const dead = silent && ms >= this.attemptMs && this.addresses.unansweredMs(address) >= ATTEMPT_MS;
-    if (dead) this.drop(address);
+    // A connection can stop delivering data while new ones work, so a silent one is closed and opened again. One on
+    // which another call was answered meanwhile is kept.
+    const isConnectionSilent =
+      timedOut && ms >= this.attemptMs && this.addresses.unansweredMs(address) >= ATTEMPT_TIMEOUT_MS;
+    if (isConnectionSilent) this.dropConnection(address);
     return problem;
   }
 
-  private drop(address: string): void {
+  private dropConnection(address: string): void {
     this.options.peers.drop(address);
     this.addresses.recordDisconnect(address);
   }
 }
 
-function noAnswer(address: string, cause: unknown): Fault {
+function timeoutFault(address: string, cause: unknown): Fault {
   return fault('deadline-exceeded', `${address} did not answer in time`, { ran: 'may-have-run', cause });
 }
 
@@ -123,7 +124,7 @@
   return transportFaults.has(problem.kind);
 }
 
-const movingKinds = new Set<string>([
+const retryableKinds = new Set<string>([
   ...transportFaults,
   'not-leader',
   'no-quorum',
@@ -131,11 +132,11 @@
   'storage-failed',
 ]);
 
-/** Whether another instance may do better; what the service decided stands. */
-function movesOn(problem: Fault): boolean {
-  return movingKinds.has(problem.kind);
+/** Whether another instance may succeed. A decision of the service itself is final. */
+function isRetryable(problem: Fault): boolean {
+  return retryableKinds.has(problem.kind);
 }
 
-function settled(last: Fault, mayHaveRun: boolean): Fault {
+function withRan(last: Fault, mayHaveRun: boolean): Fault {
   return mayHaveRun && last.ran === 'not-run' ? { ...last, ran: 'may-have-run' } : last;
 }
--- a/packages/directory/src/call/turnClient.ts
+++ b/packages/directory/src/call/turnClient.ts
@@ -1,4 +1,4 @@
-/** Turns with fencing numbers, granted by a quorum of control instances. */
+/** Turns (limited leases with fencing numbers), granted by a quorum of control instances. */
 import type { Result } from 'neverthrow';
 import type { MessageInitShape } from '@bufbuild/protobuf';
 import { createClient } from '@connectrpc/connect';
@@ -6,16 +6,16 @@
 import { controlMessage } from '@jasmineroute/protocol';
 import type { Controls } from './controls.js';
 
-/** A turn to take or renew. */
+/** Request to take or renew a turn. */
 export type TakeRequest = MessageInitShape<typeof controlMessage.TakeRequestSchema>;
-/** A turn to give back. */
+/** Request to release a turn. */
 export type ReleaseRequest = MessageInitShape<typeof controlMessage.ReleaseRequestSchema>;
 
-/** Takes, renews and releases turns. Taking again under the same holder renews. */
+/** Takes, renews and releases turns. Taking a turn again under the same holder renews it. */
 export class TurnClient {
   constructor(private readonly controls: Controls) {}
 
-  /** @returns whether it is granted, and the fencing number. */
+  /** @returns whether the turn is granted, and its fencing number. */
   take(request: TakeRequest, timeoutMs: number): Promise<Result<controlMessage.TakeResponse, Fault>> {
     return this.controls.call(
       (transport, signal) => createClient(controlMessage.Turns, transport).take(request, { signal }),
@@ -23,7 +23,7 @@
     );
   }
 
-  /** Gives the turn back before its time runs out. */
+  /** Releases the turn before it expires. */
   async release(request: ReleaseRequest, timeoutMs: number): Promise<Result<void, Fault>> {
     const answer = await this.controls.call(
       (transport, signal) => createClient(controlMessage.Turns, transport).release(request, { signal }),
--- a/packages/directory/src/message/document.ts
+++ b/packages/directory/src/message/document.ts
@@ -1,8 +1,8 @@
-/** Stored documents between messages and the view. */
+/** Converts stored documents to and from messages. */
 import { create } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 
-/** The document that says where control instances are; every watcher gets it. */
+/** Service of the document that lists the control instances. Every watcher receives it. */
 export const CONTROL_SERVICE = 'control';
 
 /** An accepted document as text, as control instances store it. */
@@ -12,11 +12,11 @@
   readonly text: string;
   readonly operator: string;
   readonly acceptedAt: Date;
-  /** Revision of the whole state at which it was accepted. */
+  /** Revision of the replicated state at which it was accepted. */
   readonly revision: bigint;
 }
 
-/** A document with its whole text as a message has it. */
+/** Converts a document with its full text to a message. */
 export function documentToMessage(document: StoredDocument): controlMessage.DocumentVersion {
   return create(controlMessage.DocumentVersionSchema, {
     service: document.service,
@@ -28,7 +28,7 @@
   });
 }
 
-/** A document out of a message, with a text made elsewhere when the message has edits only. */
+/** Converts a message to a document. Pass `text` if the message contains only edits. */
 export function documentFromMessage(
   message: controlMessage.DocumentVersion,
   text = message.text,
--- a/packages/directory/src/message/index.ts
+++ b/packages/directory/src/message/index.ts
@@ -1,4 +1,4 @@
-/** Between messages and the view. */
+/** Converts between messages and the types of the view. */
 export * from './document.js';
 export * from './instance.js';
 export * from './instanceDigest.js';
--- a/packages/directory/src/message/instance.ts
+++ b/packages/directory/src/message/instance.ts
@@ -1,4 +1,4 @@
-/** Instances between messages and the view. */
+/** Converts instances to and from messages. */
 import { create } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 import type { Health, Instance, LoadedModel, Role, Target } from '../view/index.js';
@@ -7,7 +7,7 @@
 const HealthCode = controlMessage.Health;
 const RoleCode = controlMessage.Role;
 
-/** An instance as messages carry it. */
+/** An instance in its message form. */
 export type InstanceMessage = controlMessage.Instance;
 
 const healthCodes: Readonly<Record<Health, controlMessage.Health>> = {
@@ -38,22 +38,22 @@
   [RoleCode.CONTROL]: 'control',
 };
 
-/** Health as a message has it. */
+/** Converts a health to its message value. */
 export function healthToMessage(health: Health): controlMessage.Health {
   return healthCodes[health];
 }
 
-/** Health out of a message; what is not known counts as down. */
+/** Converts a message value to a health; unknown values become 'down'. */
 export function healthFromMessage(code: controlMessage.Health): Health {
   return (healths as Partial<Record<number, Health>>)[code] ?? 'down';
 }
 
-/** Role as a message has it. */
+/** Converts a role to its message value. */
 export function roleToMessage(role: Role): controlMessage.Role {
   return roleCodes[role];
 }
 
-/** A target as a message has it. */
+/** Converts a target to a message. */
 export function targetToMessage(target: Target): controlMessage.TargetState {
   return create(TargetStateSchema, {
     ...target,
@@ -63,7 +63,7 @@
   });
 }
 
-/** A target out of a message. */
+/** Converts a message to a target. */
 export function targetFromMessage(message: controlMessage.TargetState): Target {
   const models: LoadedModel[] = message.models.map(({ model, version, adapters }) => ({
     model,
@@ -81,7 +81,7 @@
   };
 }
 
-/** An instance as a message has it. */
+/** Converts an instance to a message. */
 export function instanceToMessage(instance: Instance, sequence = 0n): InstanceMessage {
   return create(InstanceSchema, {
     name: instance.name,
@@ -96,7 +96,7 @@
   });
 }
 
-/** An instance out of a message. */
+/** Converts a message to an instance. */
 export function instanceFromMessage(message: InstanceMessage): Instance {
   return {
     name: message.name,
--- a/packages/directory/src/message/instanceDigest.ts
+++ b/packages/directory/src/message/instanceDigest.ts
@@ -1,7 +1,7 @@
-/** Digests of instances by buckets of names, so that two sides find out what they hold differently. */
+/** Digests of instances, grouped into buckets by name, with which two processes find their differences. */
 import type { Instance } from '../view/index.js';
 
-/** Number of buckets: at 5,000 instances one holds 80. */
+/** Number of buckets. With 5,000 instances each holds about 80. */
 export const BUCKETS = 64;
 
 const FNV_OFFSET = 0x811c9dc5;
@@ -12,19 +12,19 @@
   for (let index = 0; index < text.length; index += 1) {
     value = Math.imul(value ^ text.charCodeAt(index), FNV_PRIME);
   }
-  // Spreads the last characters over all bits.
+  // Mixes the last characters into all bits.
   value = Math.imul(value ^ (value >>> 16), 0x85ebca6b);
   return (value ^ (value >>> 13)) >>> 0;
 }
 
-/** Bucket of a name. */
+/** Index of the bucket of a name. */
 export function bucketOf(name: string): number {
   return hash(name) % BUCKETS;
 }
 
 const digests = new WeakMap<Instance, number>();
 
-/** Digest of all that is served of an instance. */
+/** Digest of all fields of an instance that are sent to watchers. */
 function digestOf(instance: Instance): number {
   const known = digests.get(instance);
   if (known !== undefined) return known;
@@ -41,7 +41,7 @@
   return digest;
 }
 
-/** Digest of each bucket; the order of instances does not matter. */
+/** Digest of each bucket, independent of the order of instances. */
 export function bucketDigests(instances: Iterable<Instance>): number[] {
   const buckets = new Array<number>(BUCKETS).fill(0);
   for (const instance of instances) {
--- a/packages/directory/src/message/textEdit.spec.ts
+++ b/packages/directory/src/message/textEdit.spec.ts
@@ -7,7 +7,7 @@
   .chain((lines) => fc.constantFrom('', 'end').map((end) => lines.join('') + end));
 
 describe('editsBetween', () => {
-  it('makes one text of another', () => {
+  it('turns one text into another', () => {
     fc.assert(
       fc.property(text, text, (before, after) => {
         expect(applyEdits(before, editsBetween(before, after))).toBe(after);
@@ -16,7 +16,7 @@
     );
   });
 
-  it('keeps two small changes far apart small', () => {
+  it('returns two small edits for two distant small changes', () => {
     const lines = Array.from({ length: 8_000 }, (_, index) => `line ${index}\n`);
     const before = lines.join('');
     const after = lines.with(10, 'ten\n').with(7_000, '').join('');
@@ -27,7 +27,7 @@
     ]);
   });
 
-  it('falls back to one edit for texts with little in common', () => {
+  it('returns a single edit for texts with little in common', () => {
     const before = Array.from({ length: 500 }, (_, index) => `old ${index}\n`).join('');
     const after = Array.from({ length: 500 }, (_, index) => `new ${index}\n`).join('');
     expect(editsBetween(before, after)).toEqual([{ start: 0, removed: before.length, inserted: after }]);
--- a/packages/directory/src/message/textEdit.ts
+++ b/packages/directory/src/message/textEdit.ts
@@ -1,21 +1,21 @@
-/** Differences between two texts, so that a change of a long document travels as a few lines. */
+/** Computes and applies edits between two texts, so that only the changed lines of a long document are sent. */
 import { createHash } from 'node:crypto';
 
-/** Replaces a range. Positions count UTF-16 units of the text before all edits. */
+/** Replaces a range. Positions are UTF-16 code units in the text before all edits. */
 export interface TextEdit {
   readonly start: number;
   readonly removed: number;
   readonly inserted: string;
 }
 
-/** Most lines inserted and removed that are looked for one by one; beyond, the changed middle is one edit. */
+/** Maximum number of inserted and removed lines to search for. Beyond it the whole changed part becomes one edit. */
 const MAX_DISTANCE = 128;
 const DIGEST_BYTES = 8;
 
-/** The edits that make `after` of `before`, in order. */
+/** The edits that turn `before` into `after`, in order. */
 export function editsBetween(before: string, after: string): TextEdit[] {
-  const a = piecesOf(before);
-  const b = piecesOf(after);
+  const a = splitPieces(before);
+  const b = splitPieces(after);
   let head = 0;
   while (head < a.length && head < b.length && a[head] === b[head]) head += 1;
   let tail = 0;
@@ -24,11 +24,11 @@
   const offset = lengthOf(a, 0, head);
   const [oldLines, newLines] = [a.slice(head, a.length - tail), b.slice(head, b.length - tail)];
   const steps = shortestSteps(oldLines, newLines);
-  if (steps === undefined) return whole(oldLines, newLines, offset);
-  return gather(steps, oldLines, newLines, offset);
+  if (steps === undefined) return singleEdit(oldLines, newLines, offset);
+  return mergeSteps(steps, oldLines, newLines, offset);
 }
 
-/** Applies edits in order. @throws RangeError when they do not fit the text. */
+/** Applies edits in order. @throws RangeError if a position lies outside the text. */
 export function applyEdits(text: string, edits: readonly TextEdit[]): string {
   const parts: string[] = [];
   let position = 0;
@@ -41,13 +41,13 @@
   return parts.join('');
 }
 
-/** First bytes of the SHA-256 of a text. */
+/** The first 8 bytes of the SHA-256 hash of a text. */
 export function textDigest(text: string): Uint8Array {
   return createHash('sha256').update(text).digest().subarray(0, DIGEST_BYTES);
 }
 
-/** Pieces that are compared whole: lines, and in the compact form, which is one line, what commas part. */
-function piecesOf(text: string): string[] {
+/** Splits a text into the pieces to compare: lines, and parts between commas, as the compact form is a single line. */
+function splitPieces(text: string): string[] {
   return text.split(/(?<=[\n,])/);
 }
 
@@ -57,16 +57,16 @@
   return length;
 }
 
-function whole(a: readonly string[], b: readonly string[], offset: number): TextEdit[] {
+function singleEdit(a: readonly string[], b: readonly string[], offset: number): TextEdit[] {
   return [{ start: offset, removed: lengthOf(a, 0, a.length), inserted: b.join('') }];
 }
 
-/** One step through both texts: a line that both have, one that only the old has, or one that only the new has. */
+/** One step through both texts: a line in both, only in the old, or only in the new text. */
 type Step = 'keep' | 'remove' | 'insert';
 
 /**
- * The shortest way from one list of lines to another by Myers' greedy algorithm.
- * @returns undefined when it takes more than `MAX_DISTANCE` insertions and removals
+ * The shortest edit script between two lists of lines, by Myers' greedy algorithm.
+ * @returns undefined if it needs more than `MAX_DISTANCE` insertions and removals
  */
 function shortestSteps(a: readonly string[], b: readonly string[]): Step[] | undefined {
   const reached = new Map<number, number>([[1, 0]]);
@@ -74,28 +74,29 @@
   for (let distance = 0; distance <= MAX_DISTANCE; distance += 1) {
     trace.push(new Map(reached));
     for (let diagonal = -distance; diagonal <= distance; diagonal += 2) {
-      let x = startOf(reached, diagonal, distance);
+      let x = startX(reached, diagonal, distance);
       while (x < a.length && x - diagonal < b.length && a[x] === b[x - diagonal]) x += 1;
       reached.set(diagonal, x);
-      if (x >= a.length && x - diagonal >= b.length) return walkBack(trace, a.length, b.length);
+      if (x >= a.length && x - diagonal >= b.length) return backtrack(trace, a.length, b.length);
     }
   }
   return undefined;
 }
 
-const at = (reached: ReadonlyMap<number, number>, diagonal: number): number => reached.get(diagonal) ?? -1;
+const furthestX = (reached: ReadonlyMap<number, number>, diagonal: number): number =>
+  reached.get(diagonal) ?? -1;
 
-function comesByInsertion(reached: ReadonlyMap<number, number>, diagonal: number, distance: number): boolean {
+function isInsertion(reached: ReadonlyMap<number, number>, diagonal: number, distance: number): boolean {
   if (diagonal === -distance) return true;
-  return diagonal !== distance && at(reached, diagonal - 1) < at(reached, diagonal + 1);
+  return diagonal !== distance && furthestX(reached, diagonal - 1) < furthestX(reached, diagonal + 1);
 }
 
-function startOf(reached: ReadonlyMap<number, number>, diagonal: number, distance: number): number {
-  const inserted = comesByInsertion(reached, diagonal, distance);
-  return inserted ? at(reached, diagonal + 1) : at(reached, diagonal - 1) + 1;
+function startX(reached: ReadonlyMap<number, number>, diagonal: number, distance: number): number {
+  const inserted = isInsertion(reached, diagonal, distance);
+  return inserted ? furthestX(reached, diagonal + 1) : furthestX(reached, diagonal - 1) + 1;
 }
 
-function walkBack(
+function backtrack(
   trace: readonly ReadonlyMap<number, number>[],
   oldLength: number,
   newLength: number,
@@ -104,8 +105,8 @@
   let [x, y] = [oldLength, newLength];
   for (let distance = trace.length - 1; distance >= 0; distance -= 1) {
     const reached = trace[distance] ?? new Map<number, number>();
-    const inserted = comesByInsertion(reached, x - y, distance);
-    const previousX = at(reached, inserted ? x - y + 1 : x - y - 1);
+    const inserted = isInsertion(reached, x - y, distance);
+    const previousX = furthestX(reached, inserted ? x - y + 1 : x - y - 1);
     const previousY = previousX - (inserted ? x - y + 1 : x - y - 1);
     while (x > previousX && y > previousY && x > 0 && y > 0) {
       steps.push('keep');
@@ -118,8 +119,8 @@
   return steps.reverse();
 }
 
-/** Joins neighbouring steps into edits. */
-function gather(
+/** Merges adjacent steps into edits. */
+function mergeSteps(
   steps: readonly Step[],
   a: readonly string[],
   b: readonly string[],
--- a/packages/directory/src/server/changeSignal.ts
+++ b/packages/directory/src/server/changeSignal.ts
@@ -1,11 +1,11 @@
-/** Wakes waiting tasks. */
+/** Wakes waiting tasks on a change. */
 import type { Clock } from '@jasmineroute/core';
 
-/** Tasks wait on it until something changes, a time passes, or they are called off. */
+/** Lets tasks wait until a change, a timeout or an abort. */
 export class ChangeSignal {
   private waiters = new Set<() => void>();
 
-  /** Wakes all that wait now. */
+  /** Wakes all tasks that wait now. */
   raise(): void {
     const waiters = this.waiters;
     this.waiters = new Set();
--- a/packages/directory/src/server/documentFeed.ts
+++ b/packages/directory/src/server/documentFeed.ts
@@ -1,4 +1,4 @@
-/** Changes of documents for watchers: edits where a watcher has the text before, the whole text otherwise. */
+/** Document changes for watchers: edits if the watcher has a recent version, otherwise the full text. */
 import { create } from '@bufbuild/protobuf';
 import { compactText } from '@jasmineroute/document';
 import { controlMessage } from '@jasmineroute/protocol';
@@ -6,11 +6,11 @@
 import type { StoredDocument } from '../message/index.js';
 import type { DocumentSource } from './source.js';
 
-/** Changes of one document that are held; a watcher that missed more gets the whole text. */
-const HELD_CHANGES = 64;
-/** Bytes of a message that come beside the inserted text of an edit, and beside the edits of a change. */
-const EDIT_BYTES = 12;
-const CHANGE_BYTES = 60;
+/** Changes stored per document. A watcher that missed more receives the full text. */
+const MAX_CHANGES = 64;
+/** Approximate message size of an edit without its text and of a change without its edits, in bytes. */
+const EDIT_OVERHEAD_BYTES = 12;
+const CHANGE_OVERHEAD_BYTES = 60;
 
 type DocumentMessage = controlMessage.DocumentVersion;
 
@@ -22,17 +22,17 @@
   readonly message: DocumentMessage;
 }
 
-/** The newest text of a service and how it came about. */
+/** The newest document of a service and its recent changes. */
 interface DocumentHistory {
   readonly newest: StoredDocument;
   readonly whole: DocumentMessage;
   readonly changes: readonly Change[];
 }
 
-/** Follows a source and works each change out once for all watchers. */
+/** Reads a source and computes each change once for all watchers. */
 export class DocumentFeed {
   private readonly histories = new Map<string, DocumentHistory>();
-  private followed = 0n;
+  private processedRevision = 0n;
 
   constructor(private readonly source: DocumentSource) {}
 
@@ -44,9 +44,9 @@
     return this.source.vouched();
   }
 
-  /** What changed after `revision` among the wanted services, in the order of revisions. */
+  /** Changes after `revision` of the wanted services, ordered by revision. */
   since(revision: bigint, wanted: (service: string) => boolean): DocumentMessage[] {
-    this.follow();
+    this.update();
     const messages: DocumentMessage[] = [];
     for (const [service, history] of this.histories) {
       if (history.newest.revision > revision && wanted(service))
@@ -55,27 +55,27 @@
     return messages.sort((a, b) => (a.revision < b.revision ? -1 : 1));
   }
 
-  /** Works out the changes that the source has had since the last call. */
-  private follow(): void {
-    if (this.followed === this.source.revision()) return;
-    for (const stored of this.source.since(this.followed)) {
-      const document = { ...stored, text: quickText(stored.text) };
-      this.histories.set(document.service, extended(this.histories.get(document.service), document));
+  /** Computes the changes of the source since the last call. */
+  private update(): void {
+    if (this.processedRevision === this.source.revision()) return;
+    for (const stored of this.source.since(this.processedRevision)) {
+      const document = { ...stored, text: compactForm(stored.text) };
+      this.histories.set(document.service, withChange(this.histories.get(document.service), document));
     }
-    this.followed = this.source.revision();
+    this.processedRevision = this.source.revision();
   }
 }
 
-/** The form that watchers read quickly. What an entry passes on to its neighbours has it already. */
-function quickText(text: string): string {
+/** The compact form, which is fast to parse. Documents that an entry passes on already have it. */
+function compactForm(text: string): string {
   return text.startsWith('{') ? text : compactText(text);
 }
 
-function extended(history: DocumentHistory | undefined, document: StoredDocument): DocumentHistory {
+function withChange(history: DocumentHistory | undefined, document: StoredDocument): DocumentHistory {
   const whole = documentToMessage(document);
   if (history === undefined) return { newest: document, whole, changes: [] };
   const change = changeBetween(history.newest, document);
-  return { newest: document, whole, changes: [...history.changes, change].slice(-HELD_CHANGES) };
+  return { newest: document, whole, changes: [...history.changes, change].slice(-MAX_CHANGES) };
 }
 
 function changeBetween(before: StoredDocument, after: StoredDocument): Change {
@@ -87,11 +87,14 @@
     edits: edits.map((edit) => create(controlMessage.TextEditSchema, edit)),
     digest: textDigest(after.text),
   });
-  const inserted = edits.reduce((sum, edit) => sum + edit.inserted.length + EDIT_BYTES, CHANGE_BYTES);
+  const inserted = edits.reduce(
+    (sum, edit) => sum + edit.inserted.length + EDIT_OVERHEAD_BYTES,
+    CHANGE_OVERHEAD_BYTES,
+  );
   return { baseRevision: before.revision, revision: after.revision, size: inserted, message };
 }
 
-/** The held changes, if they reach back to the watcher's text and are shorter than the whole. */
+/** The stored changes if they reach back to the watcher's revision and are smaller than the full text. */
 function changesAfter(history: DocumentHistory, revision: bigint): DocumentMessage[] {
   const changes = history.changes.filter((change) => change.revision > revision);
   const [first] = changes;
--- a/packages/directory/src/server/index.ts
+++ b/packages/directory/src/server/index.ts
@@ -1,4 +1,4 @@
-/** The serving side: documents and instances for other processes. */
+/** Serving side: documents and instances for other processes. */
 export * from './changeSignal.js';
 export * from './serveDirectory.js';
 export * from './source.js';
--- a/packages/directory/src/server/instanceFeed.ts
+++ b/packages/directory/src/server/instanceFeed.ts
@@ -1,52 +1,52 @@
-/** Changes of instances for any number of watchers, each with its own place. */
+/** Instance changes for any number of watchers, each with its own position. */
 import { BUCKETS, bucketDigests, bucketOf } from '../message/index.js';
 import type { Instance } from '../view/index.js';
 import type { InstanceSource } from './source.js';
 
-/** Changes that are held for watchers that lag; one that lags more is compared anew. */
-const HELD_CHANGES = 8_192;
-/** Instances in one event: a snapshot goes out in parts, so that it does not hold up the heartbeats of others. */
+/** Changes stored for lagging watchers. One that lags further behind receives a new snapshot. */
+const MAX_CHANGES = 8_192;
+/** Instances per event. A snapshot is sent in parts so that it does not delay the keep-alive events of other streams. */
 const INSTANCES_PER_EVENT = 512;
 
-/** Which instances a watcher wants. */
+/** Selects the instances that a watcher receives. */
 export type InstanceFilter = (instance: Instance) => boolean;
 
-/** What changed after a place. */
+/** Changes after a position. */
 export interface InstanceChanges {
   readonly changed: readonly Instance[];
   readonly removed: readonly string[];
 }
 
-/** Some buckets, complete. */
+/** Complete contents of some buckets. */
 export interface BucketContents {
   readonly buckets: readonly number[];
   readonly instances: readonly Instance[];
 }
 
-/** A bounded log of the names that changed; what they are now is looked up when it is read. */
+/** A bounded log of changed names. Their current state is looked up when the log is read. */
 export class InstanceFeed {
   private names: string[] = [];
-  private first = 0;
+  private firstPosition = 0;
 
   constructor(private readonly source: InstanceSource) {
     source.onChange((names) => {
       this.names.push(...names);
-      this.cut();
+      this.trim();
     });
   }
 
-  /** Place after the newest change. */
-  end(): number {
-    return this.first + this.names.length;
+  /** Position after the newest change. */
+  endPosition(): number {
+    return this.firstPosition + this.names.length;
   }
 
-  /** What changed after `place`; undefined when the log does not reach back so far. */
-  since(place: number, wanted: InstanceFilter): InstanceChanges | undefined {
-    if (place < this.first) return undefined;
+  /** Changes after `position`; undefined if the log does not reach back that far. */
+  since(position: number, wanted: InstanceFilter): InstanceChanges | undefined {
+    if (position < this.firstPosition) return undefined;
     const current = this.source.current();
     const changed: Instance[] = [];
     const removed: string[] = [];
-    for (const name of new Set(this.names.slice(place - this.first))) {
+    for (const name of new Set(this.names.slice(position - this.firstPosition))) {
       const instance = current.get(name);
       if (instance !== undefined && wanted(instance)) changed.push(instance);
       else removed.push(name);
@@ -54,8 +54,8 @@
     return { changed, removed };
   }
 
-  /** The buckets that differ from a watcher's digests, in parts; all of them when it has none. */
-  differing(digests: readonly number[], wanted: InstanceFilter): BucketContents[] {
+  /** Buckets that differ from a watcher's digests, in parts; all buckets if it sent no digests. */
+  differingBuckets(digests: readonly number[], wanted: InstanceFilter): BucketContents[] {
     const instances = [...this.source.current().values()].filter(wanted);
     const own = digests.length === BUCKETS ? bucketDigests(instances) : [];
     const differing = Array.from({ length: BUCKETS }, (_, bucket) => bucket).filter(
@@ -63,11 +63,11 @@
     );
     const byBucket = new Map<number, Instance[]>(differing.map((bucket) => [bucket, []]));
     for (const instance of instances) byBucket.get(bucketOf(instance.name))?.push(instance);
-    return partsOf(byBucket);
+    return splitIntoParts(byBucket);
   }
 
-  /** Addresses of entries that take connections, at most `count`, another choice at each call. */
-  someEntries(count: number): string[] {
+  /** Addresses of up to `count` randomly chosen entries that are alive. */
+  randomEntries(count: number): string[] {
     const addresses = [...this.source.current().values()]
       .filter(({ role, health }) => role === 'entry' && health === 'alive')
       .map(({ address }) => address);
@@ -80,15 +80,15 @@
     return addresses.slice(0, count);
   }
 
-  private cut(): void {
-    if (this.names.length < 2 * HELD_CHANGES) return;
-    const excess = this.names.length - HELD_CHANGES;
+  private trim(): void {
+    if (this.names.length < 2 * MAX_CHANGES) return;
+    const excess = this.names.length - MAX_CHANGES;
     this.names = this.names.slice(excess);
-    this.first += excess;
+    this.firstPosition += excess;
   }
 }
 
-function partsOf(byBucket: ReadonlyMap<number, readonly Instance[]>): BucketContents[] {
+function splitIntoParts(byBucket: ReadonlyMap<number, readonly Instance[]>): BucketContents[] {
   const parts: { buckets: number[]; instances: Instance[] }[] = [];
   for (const [bucket, instances] of byBucket) {
     let part = parts.at(-1);
--- a/packages/directory/src/server/semaphore.ts
+++ b/packages/directory/src/server/semaphore.ts
@@ -1,16 +1,16 @@
-/** Bounds the number of tasks that do something at one time. */
+/** Limits the number of concurrent tasks. */
 import type { Clock } from '@jasmineroute/core';
 import { ChangeSignal } from './changeSignal.js';
 
-/** Longest time that a permit is held, in milliseconds. */
-const HOLD_MS = 3_000;
+/** Time after which a permit is released automatically, in milliseconds. */
+const MAX_HOLD_MS = 3_000;
 
-/** Gives a permit back. Calling it twice is harmless. */
+/** Releases a permit. Further calls have no effect. */
 export type Release = () => void;
 
 /**
- * A bounded number of permits. One that is held for too long is free again: a watcher that reads nothing holds up
- * its own stream for good, and a few of them would hold up everybody's.
+ * A semaphore whose permits expire. A watcher that stops reading blocks its own stream indefinitely, and without expiry
+ * a few of them would block all other streams.
  */
 export class Semaphore {
   private held = 0;
@@ -21,7 +21,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Takes a permit; undefined when none is free. */
+  /** Acquires a permit; undefined if none is free. */
   acquire(): Release | undefined {
     if (this.held >= this.permits) return undefined;
     this.held += 1;
@@ -33,7 +33,7 @@
       this.held -= 1;
       this.freed.raise();
     };
-    const cancel = this.clock.after(HOLD_MS, release);
+    const cancel = this.clock.after(MAX_HOLD_MS, release);
     return release;
   }
 
--- a/packages/directory/src/server/serveDirectory.ts
+++ b/packages/directory/src/server/serveDirectory.ts
@@ -10,11 +10,12 @@
 import { WatcherStream } from './watcherStream.js';
 import type { WatchHub } from './watcherStream.js';
 
-/** Streams that are brought up to date at one time. */
-const COMPARISONS = 8;
+/** Maximum number of streams that receive their initial snapshot concurrently. */
+const MAX_CONCURRENT_COMPARISONS = 8;
 
 /**
- * Adds Watch, and Beat where beats are taken, to a process's RPC server. Watches end when `source.ended` is aborted.
+ * Registers Watch, and Beat if the source receives heartbeats, on a process's RPC server. Watches end when
+ * `source.ended` is aborted.
  */
 export function serveDirectory(router: ConnectRouter, source: DirectorySource): void {
   const hub = hubOf(source);
@@ -26,14 +27,14 @@
     },
     beat: (request) => {
       if (beats !== undefined) return beats.beat(request);
-      throw new ConnectError('beats are taken by control instances', Code.Unimplemented);
+      throw new ConnectError('only control instances accept heartbeats', Code.Unimplemented);
     },
   });
 }
 
 function hubOf(source: DirectorySource): WatchHub {
   const changed = new ChangeSignal();
-  // The feed listens first, so that a woken stream finds the change in it.
+  // The feed registers its listener first, so that it contains the change when a stream wakes up.
   const instances = new InstanceFeed(source.instances);
   const wake = (): void => {
     changed.raise();
@@ -45,7 +46,7 @@
     documents,
     instances,
     changed,
-    comparisons: new Semaphore(COMPARISONS, source.clock),
+    comparisons: new Semaphore(MAX_CONCURRENT_COMPARISONS, source.clock),
     clock: source.clock,
   };
 }
--- a/packages/directory/src/server/source.ts
+++ b/packages/directory/src/server/source.ts
@@ -1,4 +1,4 @@
-/** Ports of the serving side: where documents, instances and beats come from and go to. */
+/** Interfaces of the serving side to documents, instances and heartbeats. */
 import type { Clock } from '@jasmineroute/core';
 import type { controlMessage } from '@jasmineroute/protocol';
 import type { StoredDocument } from '../message/index.js';
@@ -6,39 +6,39 @@
 
 /** Accepted documents, the newest version of each service. */
 export interface DocumentSource {
-  /** Revision of the whole state; never goes down. */
+  /** Revision of the replicated state; never decreases. */
   revision(): bigint;
   /**
-   * The newest version of every document that was accepted after `revision`, in the order of revisions; 0n gives
-   * all. As documents are replaced and never removed, this is complete however long ago `revision` was.
+   * The newest version of every document accepted after `revision`, ordered by revision; 0n returns all. As documents
+   * are replaced but never removed, the result is complete for any earlier `revision`.
    */
   since(revision: bigint): readonly StoredDocument[];
-  /** Calls back after each accepted document and each change of `vouched`. Returns the way to stop. */
+  /** Calls `listener` after each accepted document and each change of `vouched`. Returns a function that removes it. */
   onChange(listener: () => void): () => void;
-  /** Whether this process is in touch with a quorum, so that what it says is current. */
+  /** Whether this process is in touch with a quorum, so that its data is current. */
   vouched(): boolean;
 }
 
-/** Instances that are known. */
+/** Current instances and their changes. */
 export interface InstanceSource {
   /** By name. */
   current(): ReadonlyMap<string, Instance>;
-  /** Calls back with the names of those that changed or went. Returns the way to stop. */
+  /** Calls `listener` with the names of changed or removed instances. Returns a function that removes it. */
   onChange(listener: (names: readonly string[]) => void): () => void;
 }
 
-/** Takes the beats of instances; control instances do. */
+/** Receives the heartbeats of instances. Implemented by control instances. */
 export interface BeatReceiver {
   beat(request: controlMessage.BeatRequest): controlMessage.BeatResponse;
 }
 
-/** What is served. */
+/** Data sources of the serving side. */
 export interface DirectorySource {
   readonly documents: DocumentSource;
   readonly instances: InstanceSource;
   readonly clock: Clock;
-  /** Absent where beats are not taken. */
+  /** Absent if the process does not receive heartbeats. */
   readonly beats?: BeatReceiver;
-  /** Aborted when this process stops serving: open streams end, so that their watchers move on. */
+  /** Aborted when this process stops serving: open streams end, and their watchers switch to another source. */
   readonly ended?: AbortSignal;
 }
--- a/packages/directory/src/server/viewSource.ts
+++ b/packages/directory/src/server/viewSource.ts
@@ -4,16 +4,16 @@
 import type { Directory, VersionedDocument, View } from '../view/index.js';
 import type { DirectorySource, DocumentSource, InstanceSource } from './source.js';
 
-/** A view that knows whether it comes straight from a control instance. */
+/** A view that tracks whether it comes directly from a control instance. */
 export interface RelayedDirectory extends Directory {
-  /** Whether a control instance in touch with a quorum feeds the view. */
+  /** Whether the view is updated by a control instance that is in touch with a quorum. */
   vouchedByControl(): boolean;
 }
 
 /**
- * The view of an entry as a source for `serveDirectory`. It is vouched for only while a control instance feeds it:
- * two neighbours that watch each other would otherwise vouch for each other for good.
- * @param ended aborted when the process stops, so that watchers move on
+ * The view of an entry as a source for `serveDirectory`. Its `vouched` is true only while a control instance updates the
+ * view; otherwise two neighbours that watch each other would confirm each other indefinitely.
+ * @param ended aborted when the process stops, so that watchers switch to another source
  */
 export function viewSource(directory: RelayedDirectory, clock: Clock, ended?: AbortSignal): DirectorySource {
   return { documents: documentsOf(directory), instances: instancesOf(directory), clock, ended };
@@ -59,7 +59,7 @@
   };
 }
 
-/** Views share the entries that did not change. */
+/** Compares by identity, as views share unchanged instances. */
 function changedNames(before: View, after: View): string[] {
   if (before.instances === after.instances) return [];
   const names: string[] = [];
--- a/packages/directory/src/server/watcherStream.spec.ts
+++ b/packages/directory/src/server/watcherStream.spec.ts
@@ -39,10 +39,9 @@
 }
 
 describe('WatcherStream', () => {
-  it('bounds how often it tells of instances while many come, and of documents at once', async () => {
-    // Symptom: after a power cut control answers nobody, and it does not get better.
-    // Sequence: thousands of processes start together; each is news to each other one.
-    // Cause: telling of them one by one takes more time than there is.
+  it('limits the rate of instance events while many join, and sends documents at once', async () => {
+    // After a power loss control instances must become responsive again. Thousands of processes start together, each is
+    // a change for every other one, and sending the changes one by one takes more processor time than there is.
     const { clock, documents, instances, watch } = setUp();
     const seen = watch();
     await clock.advance(1_000);
@@ -61,10 +60,9 @@
     expect(seen.at(-1)?.revision).toBe(1n);
   });
 
-  it('tells at once of what changed while an event was on its way', async () => {
-    // Symptom: now and then a change is in force on some process a second later than on others.
-    // Sequence: a document is accepted while the stream waits for its reader.
-    // Cause: the stream waits for the next change only once the reader is done.
+  it('sends at once what changed while an event was being sent', async () => {
+    // A change must not reach some process a second later than others. A document accepted while the stream waits for
+    // its reader raises the change signal when the stream does not wait for it.
     const { clock, documents, open } = setUp();
     const stream = open();
     const nextWithin50Ms = async (): Promise<WatchEvent | undefined> => {
@@ -78,10 +76,9 @@
     expect(await nextWithin50Ms()).toMatchObject({ revision: 1n });
   });
 
-  it('keeps heartbeats up for watchers that wait to be brought up to date', async () => {
-    // Symptom: a herd of watchers comes back again and again, and none is ever served.
-    // Sequence: all come at one time; each gives up before its turn and starts over.
-    // Cause: those that wait hear nothing, as from a dead instance.
+  it('sends keep-alive events to watchers that wait for their snapshot', async () => {
+    // Many watchers that connect at once must all be served. Without events while they wait, each would time out before
+    // its snapshot, as with a failed instance, and connect again.
     const { clock, instances, comparisons, watch } = setUp(1);
     instances.set(agentInstance(1));
     const release = comparisons.acquire();
@@ -94,10 +91,9 @@
     expect(seen.at(-1)).toMatchObject({ snapshot: true, instances: [{ name: 'agent-1' }] });
   });
 
-  it('does not let a watcher that reads nothing hold up the others', async () => {
-    // Symptom: no watcher gets its first view any more.
-    // Sequence: some watchers stop reading in the middle of theirs.
-    // Cause: each holds a permit until it has read all.
+  it('does not let a watcher that stops reading block the others', async () => {
+    // All watchers must get their snapshot even if some stop reading in the middle of theirs and therefore never release
+    // their permits.
     const { clock, comparisons, watch } = setUp(1);
     comparisons.acquire();
     const seen = watch();
@@ -105,7 +101,7 @@
     expect(seen.some(({ snapshot }) => snapshot)).toBe(true);
   });
 
-  it('sends only what differs, and only what is asked for', async () => {
+  it('sends only differences, and only of the requested services', async () => {
     const { clock, documents, instances, watch } = setUp(4);
     for (let index = 0; index < 2_000; index += 1) instances.set(agentInstance(index));
     for (const service of ['service-1', 'service-2', 'control'])
--- a/packages/directory/src/server/watcherStream.ts
+++ b/packages/directory/src/server/watcherStream.ts
@@ -1,4 +1,4 @@
-/** One watcher's stream. */
+/** Event stream of one watcher. */
 import { create } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 import type { Clock } from '@jasmineroute/core';
@@ -9,40 +9,40 @@
 import type { Semaphore } from './semaphore.js';
 import type { InstanceFeed, InstanceFilter } from './instanceFeed.js';
 
-/** Time between events when nothing changes, in milliseconds: how a watcher knows that it still hears. */
-export const HEARTBEAT_MS = 1_000;
-/** Changes within this time go out as one event, in milliseconds. */
+/** Interval between events without changes, in milliseconds. They show a watcher that its stream works. */
+export const KEEP_ALIVE_MS = 1_000;
+/** Changes within this time are sent as one event, in milliseconds. */
 const COALESCE_MS = 20;
 /**
- * Shortest time between two events that tell of instances only, in milliseconds. When thousands of processes start
- * together, each is news to each other one: without a bound, telling of them one by one takes all the processor time
- * of the control instances, beats go unanswered, and the herd starts over.
+ * Minimum interval between events that contain only instance changes, in milliseconds. When thousands of processes start
+ * together, each is a change for every other one. Without this limit, sending the changes one by one would use all
+ * processor time of the control instances, heartbeats would time out, and the processes would reconnect all at once.
  */
 const INSTANCE_INTERVAL_MS = 300;
-/** Entries that a watcher is told of, to ask while no control instance can be reached. */
-const NEIGHBOURS = 8;
-/** Events between two tellings of entries: about a minute of heartbeats. */
-const NEIGHBOUR_EVENTS = 60;
+/** Number of entries sent to a watcher as alternative sources while no control instance is reachable. */
+const NEIGHBOUR_COUNT = 8;
+/** Events between two lists of entries: about a minute of keep-alive events. */
+const EVENTS_PER_NEIGHBOUR_LIST = 60;
 
 type WatchEvent = controlMessage.WatchEvent;
 
-/** What all streams of a process share. */
+/** State shared by all streams of a process. */
 export interface WatchHub {
   readonly documents: DocumentFeed;
   readonly instances: InstanceFeed;
   readonly changed: ChangeSignal;
-  /** Bounds the streams that are brought up to date at one time. */
+  /** Limits the streams that receive their initial snapshot concurrently. */
   readonly comparisons: Semaphore;
   readonly clock: Clock;
 }
 
-/** The stream of one watcher. */
+/** Sends a snapshot and then changes to one watcher. */
 export class WatcherStream {
   private readonly services: ReadonlySet<string>;
   private revision: bigint;
   private vouched = false;
-  private place = 0;
-  private sent = 0;
+  private position = 0;
+  private eventCount = 0;
 
   constructor(
     private readonly hub: WatchHub,
@@ -52,67 +52,69 @@
     this.revision = request.revision;
   }
 
-  /** What differs from the watcher's state, then changes as they come, until `signal` is aborted. */
+  /** Yields the differences from the watcher's state, then changes as they occur, until `signal` is aborted. */
   async *events(signal: AbortSignal): AsyncGenerator<WatchEvent> {
     const { changed, clock } = this.hub;
-    yield* this.admitted(signal);
+    yield* this.catchUp(signal);
     while (!signal.aborted) {
       const sentAt = clock.monotonic();
-      if (!this.hasNews()) await changed.wait(clock, HEARTBEAT_MS, signal);
+      if (!this.hasChanges()) await changed.wait(clock, KEEP_ALIVE_MS, signal);
       await clock.sleep(COALESCE_MS, signal).catch(() => undefined);
       await this.awaitInterval(sentAt, signal);
       yield* this.changes();
     }
   }
 
-  /** Waits until instances may be told of again, or something else is to be told. */
+  /** Waits until instance changes may be sent again, or until a document or quorum change is pending. */
   private async awaitInterval(sentAt: number, signal: AbortSignal): Promise<void> {
     const { changed, clock } = this.hub;
     const due = sentAt + INSTANCE_INTERVAL_MS;
     for (;;) {
       const left = due - clock.monotonic();
-      if (left <= 0 || this.hasUrgentNews() || signal.aborted) return;
+      if (left <= 0 || this.hasUrgentChanges() || signal.aborted) return;
       await changed.wait(clock, left, signal);
     }
   }
 
-  private hasUrgentNews(): boolean {
+  private hasUrgentChanges(): boolean {
     const { documents } = this.hub;
     return documents.revision() > this.revision || documents.vouched() !== this.vouched;
   }
 
   /**
-   * Whether something changed while the last event was on its way out. Nobody waited for the signal then, so without
-   * this look the change would stay until the next heartbeat.
+   * Whether something changed while the last event was being sent. The stream does not wait for the change signal during
+   * that time, so without this check the change would be delayed until the next keep-alive event.
    */
-  private hasNews(): boolean {
-    return this.hasUrgentNews() || (this.request.instances && this.hub.instances.end() > this.place);
+  private hasChanges(): boolean {
+    return (
+      this.hasUrgentChanges() || (this.request.instances && this.hub.instances.endPosition() > this.position)
+    );
   }
 
   /**
-   * Brings the watcher up to date when it is its turn. A herd that returns at one time would otherwise share the
-   * processor so that none is served before it gives up and comes again. Heartbeats keep those that wait.
+   * Sends the initial snapshot when a permit is free. If many watchers returned at once without this limit, none would
+   * be served before it times out and reconnects. Keep-alive events prevent those that wait from timing out.
    */
-  private async *admitted(signal: AbortSignal): AsyncGenerator<WatchEvent> {
+  private async *catchUp(signal: AbortSignal): AsyncGenerator<WatchEvent> {
     const { comparisons, documents } = this.hub;
     let release = comparisons.acquire();
     while (release === undefined) {
       if (signal.aborted) return;
       yield create(controlMessage.WatchEventSchema, { vouched: documents.vouched() });
-      await comparisons.wait(HEARTBEAT_MS, signal);
+      await comparisons.wait(KEEP_ALIVE_MS, signal);
       release = comparisons.acquire();
     }
     try {
-      yield* this.compared(this.request.buckets);
+      yield* this.snapshot(this.request.buckets);
     } finally {
       release();
     }
   }
 
-  /** Sends the documents, and the instances that differ in parts; the last event is marked. */
-  private *compared(digests: readonly number[]): Generator<WatchEvent> {
-    this.place = this.hub.instances.end();
-    const parts = this.request.instances ? this.hub.instances.differing(digests, this.wanted) : [];
+  /** Yields the documents and, in parts, the differing instances; the last event is marked as `snapshot`. */
+  private *snapshot(digests: readonly number[]): Generator<WatchEvent> {
+    this.position = this.hub.instances.endPosition();
+    const parts = this.request.instances ? this.hub.instances.differingBuckets(digests, this.wanted) : [];
     for (const [index, { buckets, instances }] of parts.entries()) {
       const event = this.event();
       event.buckets = [...buckets];
@@ -129,29 +131,30 @@
       return;
     }
     const { instances } = this.hub;
-    const end = instances.end();
-    const changes = instances.since(this.place, this.wanted);
+    const end = instances.endPosition();
+    const changes = instances.since(this.position, this.wanted);
     if (changes === undefined) {
-      yield* this.compared([]);
+      yield* this.snapshot([]);
       return;
     }
-    this.place = end;
+    this.position = end;
     const event = this.event();
     event.instances = changes.changed.map((instance) => instanceToMessage(instance));
     event.removed = [...changes.removed];
     yield event;
   }
 
-  /** An event with the documents that the watcher lacks. */
+  /** Creates an event with the documents that the watcher does not have yet. */
   private event(): WatchEvent {
     const { documents, instances } = this.hub;
     const event = create(controlMessage.WatchEventSchema, {
       documents: documents.since(this.revision, (service) => this.wantsService(service)),
       revision: documents.revision(),
       vouched: documents.vouched(),
-      neighbours: this.sent % NEIGHBOUR_EVENTS === 0 ? instances.someEntries(NEIGHBOURS) : [],
+      neighbours:
+        this.eventCount % EVENTS_PER_NEIGHBOUR_LIST === 0 ? instances.randomEntries(NEIGHBOUR_COUNT) : [],
     });
-    this.sent += 1;
+    this.eventCount += 1;
     this.vouched = event.vouched;
     if (event.revision > this.revision) this.revision = event.revision;
     return event;
