--- a/packages/directory/src/bench/controlThread.ts
+++ b/packages/directory/src/bench/controlThread.ts
@@ -1,4 +1,4 @@
-/** A control instance in a thread of its own, and the side that starts it. */
+/** Runs a control instance in a worker thread. */
 import { once } from 'node:events';
 import { Worker, isMainThread, parentPort, workerData } from 'node:worker_threads';
 import type { MessagePort } from 'node:worker_threads';
@@ -6,14 +6,14 @@
 import { ControlStandIn, MemoryDocuments } from '../fixture/index.js';
 import type { ControlPeer } from '../membership/index.js';
 
-/** What the starting side asks for. */
+/** Command sent to the worker thread. */
 type Command =
   | { readonly kind: 'controls'; readonly controls: readonly ControlPeer[] }
   | { readonly kind: 'accept'; readonly service: string; readonly text: string }
   | { readonly kind: 'vouched'; readonly vouched: boolean }
   | { readonly kind: 'stop' };
 
-/** A started thread. */
+/** Handle of a worker thread with a control instance. */
 export class ControlThread {
   private ending: Promise<void> | undefined;
 
@@ -24,7 +24,7 @@
     private readonly worker: Worker,
   ) {}
 
-  /** Starts several, which know each other. */
+  /** Starts `count` threads whose control instances are peers of each other. */
   static async startAll(count: number): Promise<ControlThread[]> {
     const threads = await Promise.all(Array.from({ length: count }, (_, index) => this.start(`c${index}`)));
     const controls = threads.map(({ name, address }) => ({ name, address }));
@@ -46,7 +46,7 @@
     this.send({ kind: 'vouched', vouched });
   }
 
-  /** Ends the thread; a second call waits for the same end. */
+  /** Stops the thread. Further calls wait for the same stop. */
   stop(): Promise<void> {
     this.ending ??= this.end();
     return this.ending;
--- a/packages/directory/src/bench/detect.ts
+++ b/packages/directory/src/bench/detect.ts
@@ -1,4 +1,4 @@
-/** Time from the end of an agent to its being listed as down. */
+/** Measures the time from the stop of an agent until it is listed as down. */
 import { createServer } from 'node:net';
 import type { AddressInfo, Server } from 'node:net';
 import { setTimeout as wait } from 'node:timers/promises';
@@ -8,13 +8,13 @@
 import { ControlStandIn } from '../fixture/index.js';
 import { tcpProbe } from '../membership/index.js';
 import { machineTime } from './meter.js';
-import { settled } from './measure.js';
+import { percentileRows } from './measure.js';
 import type { Measure } from './measure.js';
 
 const AGENTS = 24;
-const ENDED = 8;
-/** Time between two ends, so that they do not count as one. */
-const APART_MS = 2_700;
+const STOPPED_AGENTS = 8;
+/** Minimum time between two stops, in milliseconds, so that they are not detected as one mass failure. */
+const STOP_INTERVAL_MS = 2_700;
 
 interface Agent {
   readonly name: string;
@@ -43,7 +43,7 @@
   return { name, client, server };
 }
 
-/** Ends agents one after the other; `hostGone`: no answer comes from their host, as without power. */
+/** Stops agents one after the other. With `hostGone` their host does not answer, as after a power loss. */
 async function run(hostGone: boolean): Promise<number[]> {
   const probe = hostGone ? () => Promise.resolve('unreachable' as const) : tcpProbe(systemClock);
   const control = await ControlStandIn.start({ name: 'c0', probe });
@@ -59,14 +59,14 @@
         delays.push(machineTime() - at);
     }
   });
-  for (const { name, client, server } of agents.slice(0, ENDED)) {
-    await wait(APART_MS + 1_000 * Math.random());
+  for (const { name, client, server } of agents.slice(0, STOPPED_AGENTS)) {
+    await wait(STOP_INTERVAL_MS + 1_000 * Math.random());
     server.close();
     await client.stop();
     endedAt.set(name, machineTime());
   }
-  for (let turn = 0; delays.length < ENDED && turn < 100; turn += 1) await wait(100);
-  for (const { client, server } of agents.slice(ENDED)) {
+  for (let turn = 0; delays.length < STOPPED_AGENTS && turn < 100; turn += 1) await wait(100);
+  for (const { client, server } of agents.slice(STOPPED_AGENTS)) {
     server.close();
     await client.stop();
   }
@@ -74,11 +74,11 @@
   return delays;
 }
 
-/** Crashed processes, whose address refuses connections, and hosts that are gone. */
+/** Measures detection of crashed processes, whose address refuses connections, and of unreachable hosts. */
 export async function measureDetection(): Promise<Measure[]> {
   const [crashed, gone] = [await run(false), await run(true)];
   return [
-    ...settled('end of a process to listed as down', crashed),
-    ...settled('end of a host to listed as down', gone),
+    ...percentileRows('end of a process to listed as down', crashed),
+    ...percentileRows('end of a host to listed as down', gone),
   ];
 }
--- a/packages/directory/src/bench/feed.ts
+++ b/packages/directory/src/bench/feed.ts
@@ -1,5 +1,6 @@
 /**
- * Measures the directory: spread of changes, catch-up, cost of a watcher, memory of a view.
+ * Benchmarks of the directory: propagation of changes, catch-up, cost of a watcher, memory of a view, detection of
+ * failures.
  * `node packages/directory/dist/bench/feed.js [--json] [spread] [faults] [catch-up] [idle] [heap] [detect]`
  */
 import { measureDetection } from './detect.js';
--- a/packages/directory/src/bench/heap.ts
+++ b/packages/directory/src/bench/heap.ts
@@ -1,4 +1,4 @@
-/** Memory of a view. */
+/** Measures the memory of a view. */
 import { fromBinary, toBinary } from '@bufbuild/protobuf';
 import { compactText } from '@jasmineroute/document';
 import { controlMessage } from '@jasmineroute/protocol';
@@ -12,7 +12,7 @@
 const TARGETS = [600, 1_200, 2_450, 4_900];
 const CUSTOMERS = [100, 475, 950, 1_900];
 
-/** An instance as it comes out of a message, sharing nothing with any other. */
+/** An instance decoded from a message, sharing no objects with others. */
 function received(index: number): Instance {
   const bytes = toBinary(controlMessage.InstanceSchema, instanceToMessage(agentInstance(index)));
   return instanceFromMessage(fromBinary(controlMessage.InstanceSchema, bytes));
@@ -23,7 +23,7 @@
   const builder = new ViewBuilder();
   build(builder);
   const after = liveHeap();
-  // Keeps the view alive until here.
+  // Keeps the view reachable until the second measurement.
   if (builder.view().revision < 0n) throw new Error('no view');
   return after - before;
 }
@@ -65,7 +65,7 @@
   ];
 }
 
-/** Heap of views of several sizes, and the slope. */
+/** Measures the heap of views of several sizes and the growth per item. */
 export function measureHeap(): Measure[] {
   return [...rows('target', TARGETS, withTargets), ...rows('customer', CUSTOMERS, withCustomers)];
 }
--- a/packages/directory/src/bench/idle.ts
+++ b/packages/directory/src/bench/idle.ts
@@ -1,4 +1,4 @@
-/** Bytes and processor time that one watcher with beats takes. */
+/** Measures the network traffic and processor time of one watcher that also sends heartbeats. */
 import { setTimeout as wait } from 'node:timers/promises';
 import {
   ControlStandIn,
@@ -18,7 +18,7 @@
 const SECONDS = 15;
 const PLANNED_CHANGES_A_DAY = 12_000;
 const DAY_SECONDS = 86_400;
-/** 545 failures and restarts a day, each seen as four changes of state. */
+/** 545 failures and restarts a day, each of which causes four state changes. */
 const PLANNED_TRANSITIONS_A_DAY = 4 * 545;
 
 interface Cost {
@@ -27,7 +27,7 @@
   readonly percent: number;
 }
 
-/** Runs for a while with changes at a multiple of the planned rate. */
+/** Measures the cost for `SECONDS` with changes at a multiple of the planned rate. */
 async function run(
   thread: WatcherThread,
   counter: ByteCounter,
@@ -60,7 +60,7 @@
   return { bytesASecond: (counter.bytes - bytes) / seconds / WATCHERS, percent: (100 * busy) / WATCHERS };
 }
 
-/** Costs with no changes and at ten times the planned rate; the planned rate lies on the line between. */
+/** Measures the cost without changes and at ten times the planned rate, and interpolates for the planned rate. */
 export async function measureIdle(): Promise<Measure[]> {
   const [documents, instances] = [new MemoryDocuments(), new MemoryInstances()];
   for (let index = 0; index < TARGETS; index += 1) instances.set(agentInstance(index));
@@ -70,7 +70,7 @@
   const counter = new ByteCounter(control.port);
   const address = await counter.open();
   const thread = new WatcherThread({ prefix: 'w', count: WATCHERS, controls: [[address]], role: 'entry' });
-  while (thread.inForce.filter(({ revision }) => revision === SERVICES).length < WATCHERS) await wait(50);
+  while (thread.applied.filter(({ revision }) => revision === SERVICES).length < WATCHERS) await wait(50);
   const first = counter.bytes;
   await wait(3_000);
   const idle = await run(thread, counter, documents, instances, 0);
--- a/packages/directory/src/bench/meter.ts
+++ b/packages/directory/src/bench/meter.ts
@@ -1,21 +1,21 @@
-/** Measures for benchmarks. */
+/** Measuring functions for benchmarks. */
 import { createServer, connect } from 'node:net';
 import type { AddressInfo, Socket } from 'node:net';
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 
-/** Milliseconds on the machine's monotonic clock, the same in all threads. */
+/** Monotonic time in milliseconds, on one clock for all threads. */
 export function machineTime(): number {
   return Number(process.hrtime.bigint()) / 1e6;
 }
 
-/** The value below which a share of the samples lie. */
+/** The value below which the given share of the samples lies. */
 export function percentile(samples: readonly number[], share: number): number {
   const sorted = [...samples].sort((a, b) => a - b);
   return sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))] ?? Number.NaN;
 }
 
-/** Bytes of live objects, after collection of garbage. */
+/** Bytes of live objects on the heap after garbage collection. */
 export function liveHeap(): number {
   setFlagsFromString('--expose-gc');
   const collect = runInNewContext('gc') as () => void;
@@ -31,20 +31,20 @@
   return covariance / points.reduce((sum, [x]) => sum + (x - meanX) ** 2, 0);
 }
 
-/** A relay that counts the bytes it passes on, without those of TCP and IP. */
+/** A TCP proxy that counts the payload bytes it forwards. */
 export class ByteCounter {
-  /** Bytes in both directions so far. */
+  /** Payload bytes forwarded so far in both directions. */
   bytes = 0;
   private readonly sockets = new Set<Socket>();
   private readonly server = createServer((from) => {
     const to = connect(this.port, '127.0.0.1');
-    this.pass(from, to);
-    this.pass(to, from);
+    this.forward(from, to);
+    this.forward(to, from);
   });
 
   constructor(private readonly port: number) {}
 
-  /** host:port to connect to. */
+  /** Starts listening. Returns the host:port to connect to. */
   async open(): Promise<string> {
     await new Promise<void>((resolve) => {
       this.server.listen(0, '127.0.0.1', resolve);
@@ -57,7 +57,7 @@
     this.server.close();
   }
 
-  private pass(from: Socket, to: Socket): void {
+  private forward(from: Socket, to: Socket): void {
     this.sockets.add(from);
     from.setNoDelay(true);
     from.on('data', (data: Buffer) => {
--- a/packages/directory/src/bench/watcherThread.ts
+++ b/packages/directory/src/bench/watcherThread.ts
@@ -1,4 +1,4 @@
-/** Some watchers in a thread of their own, and the side that starts them. */
+/** Runs several watchers in a worker thread. */
 import { once } from 'node:events';
 import { join } from 'node:path';
 import { performance } from 'node:perf_hooks';
@@ -9,19 +9,19 @@
 import { DirectoryClient } from '../client/index.js';
 import { machineTime } from './meter.js';
 
-/** What a thread starts. */
+/** Watchers to start in a thread. */
 export interface WatcherPlan {
   readonly prefix: string;
   readonly count: number;
-  /** Addresses of control instances, by watcher; used in turn. */
+  /** Lists of control addresses, assigned to the watchers in rotation. */
   readonly controls: readonly (readonly string[])[];
   readonly role: 'entry' | 'agent';
-  /** Folder that holds one for each watcher; absent: nothing is kept. */
+  /** Folder with one subfolder per watcher. Default: views are not saved. */
   readonly folder?: string;
 }
 
-/** A revision that came into force at a watcher, at a machine time in milliseconds. */
-export interface InForce {
+/** A revision applied by a watcher, with the time in milliseconds as given by `machineTime`. */
+export interface AppliedRevision {
   readonly watcher: number;
   readonly revision: number;
   readonly at: number;
@@ -30,24 +30,24 @@
 }
 
 interface Report {
-  readonly inForce?: InForce[];
-  /** Share of time that the thread was busy since the last question. */
+  readonly applied?: AppliedRevision[];
+  /** Share of time for which the thread was busy since the last report. */
   readonly busy?: number;
 }
 
-/** A thread with watchers. */
+/** Handle of a worker thread with watchers. */
 export class WatcherThread {
-  readonly inForce: InForce[] = [];
+  readonly applied: AppliedRevision[] = [];
   private readonly worker: Worker;
 
   constructor(readonly plan: WatcherPlan) {
     this.worker = new Worker(new URL(import.meta.url), { workerData: plan });
-    this.worker.on('message', ({ inForce }: Report) => {
-      if (inForce !== undefined) this.inForce.push(...inForce);
+    this.worker.on('message', ({ applied }: Report) => {
+      if (applied !== undefined) this.applied.push(...applied);
     });
   }
 
-  /** Share of time that the thread was busy since the last call. */
+  /** Share of time for which the thread was busy since the last call. */
   async busy(): Promise<number> {
     this.worker.postMessage('busy');
     for (;;) {
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Stops the watchers, and the thread when they have stopped: Node 20 can abort when HTTP/2 is in use then. */
+  /** Stops the watchers and then the thread, as Node 20 can abort if a thread ends while HTTP/2 is in use. */
   async stop(): Promise<void> {
     const exited = once(this.worker, 'exit');
     this.worker.postMessage('stop');
@@ -88,8 +88,8 @@
     if (revision === last) return;
     last = revision;
     const at = machineTime();
-    const inForce = { watcher: index, revision: Number(revision), at, afterStart: at - startedAt };
-    port.postMessage({ inForce: [inForce] } satisfies Report);
+    const appliedRevision = { watcher: index, revision: Number(revision), at, afterStart: at - startedAt };
+    port.postMessage({ applied: [appliedRevision] } satisfies Report);
   });
   await client.start(() => ({ address: '127.0.0.1:1', dataCentre: 'here' }));
   return async () => {
--- a/packages/directory/src/call/controls.ts
+++ b/packages/directory/src/call/controls.ts
@@ -18,7 +18,7 @@
 const ROUND_PAUSE_MS = 100;
 
 /** Dependencies and settings of the calls. */
-export interface ControlsOptions {
+export interface ControlClientOptions {
   readonly controls: readonly string[];
   readonly peers: Peers;
   readonly clock: Clock;
@@ -39,7 +39,7 @@
   private preferred = '';
   private readonly attemptMs: number;
 
-  constructor(private readonly options: ControlsOptions) {
+  constructor(private readonly options: ControlClientOptions) {
     this.attemptMs = options.attemptMs ?? ATTEMPT_TIMEOUT_MS;
     this.addresses =
       options.addresses ?? new ControlAddresses(options.controls, () => options.clock.monotonic());
--- a/packages/directory/src/client/directoryClient.spec.ts
+++ b/packages/directory/src/client/directoryClient.spec.ts
@@ -4,7 +4,7 @@
 import { controlMessage } from '@jasmineroute/protocol';
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { directoryEvents } from '../events.js';
-import { EventRecord, MemoryDocuments, Scene, plainText } from '../fixture/index.js';
+import { MemoryDocuments, RecordingLog, Scene, plainText } from '../fixture/index.js';
 import type { View } from '../view/index.js';
 
 const scene = new Scene();
@@ -88,7 +88,7 @@
     const [c1, c2] = [await scene.control('c1'), await scene.control('c2')];
     for (const { documents } of [c1, c2]) documents.accept('desk', plainText('desk', 1));
     c2.documents.setVouched(false);
-    const log = new EventRecord();
+    const log = new RecordingLog();
     const entry = await scene.client([c1.address, c2.address], { log });
     await until(() => {
       expect(entry.view().vouched).toBe(true);
@@ -228,8 +228,8 @@
   });
 
   it('keeps targets listed when the control instance that receives their heartbeats is killed', async () => {
-    // The targets of a killed control instance must not disappear for some seconds. They send heartbeats to the next one
-    // within a second or two; until then the others have only the reports of the killed one.
+    // The targets of a killed control instance must not disappear for some seconds. They send heartbeats to the next
+    // one within a second or two; until then the others have only the reports of the killed one.
     const controls: { name: string; address: string }[] = [];
     const [c1, c2] = [await scene.control('c1', { controls }), await scene.control('c2', { controls })];
     const link = await scene.link(c2.address);
--- a/packages/directory/src/client/eventApplier.spec.ts
+++ b/packages/directory/src/client/eventApplier.spec.ts
@@ -49,8 +49,8 @@
   });
 
   it('rejects edits that do not match the local document', async () => {
-    // A process must not apply a document that no operator accepted. Edits consist of positions, which can be applied to
-    // any text, also to one that is not their base.
+    // A process must not apply a document that no operator accepted. Edits consist of positions, which can be applied
+    // to any text, also to one that is not their base.
     const { builder, applier, documents, event } = setUp();
     documents.accept('desk', plainText('desk', 0));
     await applier.apply(event());
@@ -105,9 +105,9 @@
   });
 
   it('keeps its instances when a neighbour that has just started sends an empty view', async () => {
-    // Without any control instance, an entry that restarts with an empty folder must not make its neighbour stop serving.
-    // Both watch each other; if the empty one sends its snapshot first and missing instances counted as removed, both
-    // views would be empty.
+    // Without any control instance, an entry that restarts with an empty folder must not make its neighbour stop
+    // serving. Both watch each other; if the empty one sends its snapshot first and missing instances counted as
+    // removed, both views would be empty.
     const { builder, applier, event } = setUp();
     const target = instance('lm-1');
     const everything = [bucketOf('lm-1')];
--- a/packages/directory/src/client/restart.spec.ts
+++ b/packages/directory/src/client/restart.spec.ts
@@ -2,7 +2,7 @@
 import { join } from 'node:path';
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { directoryEvents } from '../events.js';
-import { EventRecord, Scene, plainText } from '../fixture/index.js';
+import { RecordingLog, Scene, plainText } from '../fixture/index.js';
 
 const scene = new Scene();
 
@@ -28,8 +28,8 @@
 
 describe('restart', () => {
   it('starts with the saved view while no control instance is reachable', async () => {
-    // After a power loss in one data centre its entries must not reject all calls until a control instance is back. All
-    // processes restart, so documents and targets held only in memory would be lost.
+    // After a power loss in one data centre its entries must not reject all calls until a control instance is back.
+    // All processes restart, so documents and targets held only in memory would be lost.
     const folder = await stoppedEntry();
     const restarted = await scene.client(['127.0.0.1:1'], { folder, incarnation: 2n });
     expect(restarted.view()).toMatchObject({ revision: 1n, vouched: false });
@@ -38,8 +38,8 @@
   });
 
   it('saves a document before it applies it', async () => {
-    // A process that is killed right after it applied a change must not restart with the older document while no control
-    // instance is reachable, as it would if the file were written afterwards.
+    // A process that is killed right after it applied a change must not restart with the older document while no
+    // control instance is reachable, as it would if the file were written afterwards.
     const folder = await scene.folder();
     const c1 = await scene.control();
     const entry = await scene.client([c1.address], { folder });
@@ -63,7 +63,7 @@
       bytes[bytes.length - 3] = (bytes[bytes.length - 3] ?? 0) ^ 1;
       await writeFile(join(folder, name), bytes);
     }
-    const log = new EventRecord();
+    const log = new RecordingLog();
     const restarted = await scene.client(['127.0.0.1:1'], { folder, log, incarnation: 2n });
     expect(log.seen.filter((kind) => kind === directoryEvents.stateFileIgnored)).toHaveLength(2);
     expect(restarted.view().documents.size).toBe(0);
--- a/packages/directory/src/membership/membership.ts
+++ b/packages/directory/src/membership/membership.ts
@@ -10,7 +10,7 @@
 import { directoryEvents } from '../events.js';
 import type { InstanceMessage } from '../message/index.js';
 import { ChangeSignal } from '../server/changeSignal.js';
-import type { BeatReceiver, InstanceSource } from '../server/source.js';
+import type { HeartbeatReceiver, InstanceSource } from '../server/source.js';
 import type { Instance } from '../view/index.js';
 import { applyExchange } from './exchange.js';
 import { runExchange } from './exchangeTask.js';
@@ -51,7 +51,7 @@
 }
 
 /** Receives heartbeats, detects failures and exchanges reports with the other control instances. */
-export class Membership implements InstanceSource, BeatReceiver {
+export class Membership implements InstanceSource, HeartbeatReceiver {
   private readonly store: InstanceStore;
   private readonly changed = new ChangeSignal();
   private readonly listeners = new Set<(names: readonly string[]) => void>();
--- a/packages/directory/src/server/instanceFeed.ts
+++ b/packages/directory/src/server/instanceFeed.ts
@@ -5,7 +5,7 @@
 
 /** Changes stored for lagging watchers. One that lags further behind receives a new snapshot. */
 const MAX_CHANGES = 8_192;
-/** Instances per event. A snapshot is sent in parts so that it does not delay the keep-alive events of other streams. */
+/** Instances per event. A snapshot is sent in parts so that it does not delay keep-alive events of other streams. */
 const INSTANCES_PER_EVENT = 512;
 
 /** Selects the instances that a watcher receives. */
--- a/packages/directory/src/server/source.ts
+++ b/packages/directory/src/server/source.ts
@@ -28,7 +28,7 @@
 }
 
 /** Receives the heartbeats of instances. Implemented by control instances. */
-export interface BeatReceiver {
+export interface HeartbeatReceiver {
   beat(request: controlMessage.BeatRequest): controlMessage.BeatResponse;
 }
 
@@ -38,7 +38,7 @@
   readonly instances: InstanceSource;
   readonly clock: Clock;
   /** Absent if the process does not receive heartbeats. */
-  readonly beats?: BeatReceiver;
+  readonly beats?: HeartbeatReceiver;
   /** Aborted when this process stops serving: open streams end, and their watchers switch to another source. */
   readonly ended?: AbortSignal;
 }
--- a/packages/directory/src/server/viewSource.ts
+++ b/packages/directory/src/server/viewSource.ts
@@ -11,8 +11,8 @@
 }
 
 /**
- * The view of an entry as a source for `serveDirectory`. Its `vouched` is true only while a control instance updates the
- * view; otherwise two neighbours that watch each other would confirm each other indefinitely.
+ * The view of an entry as a source for `serveDirectory`. Its `vouched` is true only while a control instance updates
+ * the view; otherwise two neighbours that watch each other would confirm each other indefinitely.
  * @param ended aborted when the process stops, so that watchers switch to another source
  */
 export function viewSource(directory: RelayedDirectory, clock: Clock, ended?: AbortSignal): DirectorySource {
--- a/packages/directory/src/server/watcherStream.spec.ts
+++ b/packages/directory/src/server/watcherStream.spec.ts
@@ -92,8 +92,8 @@
   });
 
   it('does not let a watcher that stops reading block the others', async () => {
-    // All watchers must get their snapshot even if some stop reading in the middle of theirs and therefore never release
-    // their permits.
+    // All watchers must get their snapshot even if some stop reading in the middle of theirs and therefore never
+    // release their permits.
     const { clock, comparisons, watch } = setUp(1);
     comparisons.acquire();
     const seen = watch();
--- a/packages/directory/src/server/watcherStream.ts
+++ b/packages/directory/src/server/watcherStream.ts
@@ -14,9 +14,9 @@
 /** Changes within this time are sent as one event, in milliseconds. */
 const COALESCE_MS = 20;
 /**
- * Minimum interval between events that contain only instance changes, in milliseconds. When thousands of processes start
- * together, each is a change for every other one. Without this limit, sending the changes one by one would use all
- * processor time of the control instances, heartbeats would time out, and the processes would reconnect all at once.
+ * Minimum interval between events that contain only instance changes, in milliseconds. When thousands of processes
+ * start together, each is a change for every other one. Without this limit, sending the changes one by one would use
+ * all processor time of the control instances, heartbeats would time out, and the processes would reconnect at once.
  */
 const INSTANCE_INTERVAL_MS = 300;
 /** Number of entries sent to a watcher as alternative sources while no control instance is reachable. */
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Whether something changed while the last event was being sent. The stream does not wait for the change signal during
-   * that time, so without this check the change would be delayed until the next keep-alive event.
+   * Whether something changed while the last event was being sent. The stream does not wait for the change signal
+   * during that time, so without this check the change would be delayed until the next keep-alive event.
    */
   private hasChanges(): boolean {
     return (
