--- a/packages/directory/src/client/eventApplier.ts
+++ b/packages/directory/src/client/eventApplier.ts
@@ -78,7 +78,7 @@
   }
 
   /**
-   * The newest documents with their full texts; a message list may hold several changes of one document.
+   * The newest documents with their full texts. `messages` may contain several changes of one document.
    * @returns undefined when edits do not apply
    */
   private fullDocuments(messages: readonly controlMessage.DocumentVersion[]): StoredDocument[] | undefined {
@@ -97,6 +97,7 @@
     return [...newest.values()];
   }
 
+  /** The local version of a document. */
   private held(service: string): StoredDocument | undefined {
     const document = this.builder.view().documents.get(service);
     return document === undefined ? undefined : { service, ...document };
--- a/packages/directory/src/client/heartbeatTask.ts
+++ b/packages/directory/src/client/heartbeatTask.ts
@@ -73,7 +73,7 @@
     }
   }
 
-  /** Retries soon after the first failure, as failure detection is running; backs off with each further one. */
+  /** Short after the first failure, as observers measure the silence; grows with each further failure. */
   private delayMs(): number {
     const { beatMs } = this.context.timing;
     if (this.failures === 0) return beatMs;
@@ -156,7 +156,7 @@
 
   /**
    * Switches away from a control instance that has lost its quorum. It cannot pass heartbeats on to the other control
-   * instances, which would take this process for failed.
+   * instances, which would consider this process failed.
    */
   private checkQuorum(vouched: boolean): void {
     const { clock, timing, addresses } = this.context;
--- a/packages/directory/src/client/timing.ts
+++ b/packages/directory/src/client/timing.ts
@@ -6,7 +6,7 @@
   readonly beatTimeoutMs: number;
   /** Time without an event after which a watch is ended. Sources send an event at least every second. */
   readonly silenceMs: number;
-  /** Time without a quorum after which the client leaves a control instance. Elections take less. */
+  /** Time without a quorum after which the client leaves a control instance; longer than an election takes. */
   readonly unvouchedMs: number;
   /** Maximum delay between attempts while no source answers. */
   readonly retryMs: number;
--- a/packages/directory/src/client/viewPersistence.ts
+++ b/packages/directory/src/client/viewPersistence.ts
@@ -18,15 +18,15 @@
   private documentWrite: Promise<unknown> = Promise.resolve();
 
   constructor(
-    private readonly persisted: PersistedView,
+    private readonly state: PersistedView,
     private readonly clock: Clock,
     private readonly log: Log,
   ) {}
 
   /** Loads the saved view into the builder. A damaged file is ignored, as a source has the same or newer data. */
   async load(builder: ViewBuilder): Promise<PersistedAddresses> {
-    const documents = this.valueOrLog(await this.persisted.readDocuments());
-    const instances = this.valueOrLog(await this.persisted.readInstances());
+    const documents = this.usable(await this.state.readDocuments());
+    const instances = this.usable(await this.state.readInstances());
     const found = documents?.state;
     if (found !== undefined) {
       const stored = found.documents.map((message) => documentFromMessage(message));
@@ -47,16 +47,16 @@
    */
   async saveDocuments(view: View, addresses: PersistedAddresses): Promise<void> {
     const done = new AbortController();
-    const written = this.persisted.writeDocuments(view, addresses).then((result) => {
+    const written = this.state.writeDocuments(view, addresses).then((result) => {
       if (result.isErr()) this.logFailure(result.error.message);
       return true;
     });
     this.documentWrite = written;
-    const timeout = this.clock.sleep(DOCUMENT_WRITE_TIMEOUT_MS, done.signal).then(
+    const late = this.clock.sleep(DOCUMENT_WRITE_TIMEOUT_MS, done.signal).then(
       () => false,
       () => true,
     );
-    if (!(await Promise.race([written, timeout]))) this.logFailure('documents not written within 1 s');
+    if (!(await Promise.race([written, late]))) this.logFailure('documents not written within 1 s');
     done.abort();
   }
 
@@ -78,11 +78,12 @@
   }
 
   private async writeInstances(view: View): Promise<void> {
-    const result = await this.persisted.writeInstances(view);
+    const result = await this.state.writeInstances(view);
     if (result.isErr()) this.logFailure(result.error.message);
   }
 
-  private valueOrLog<T>(result: Result<T | undefined, Fault>): T | undefined {
+  /** Returns the value of a successful read; logs a failed one and returns undefined. */
+  private usable<T>(result: Result<T | undefined, Fault>): T | undefined {
     if (result.isOk()) return result.value;
     this.log.event(directoryEvents.stateFileIgnored, { problem: result.error.message });
     return undefined;
--- a/packages/directory/src/membership/membership.spec.ts
+++ b/packages/directory/src/membership/membership.spec.ts
@@ -31,7 +31,7 @@
 describe('Membership', () => {
   it('asks for the full state when a short heartbeat refers to one that it does not have', () => {
     // A target must not stay listed with the model that its engine had before. Heartbeats carry the state only when
-    // it changes, and the change may have gone to another control instance that is gone.
+    // it changes, and the change may have been sent to another control instance that has stopped since.
     const { membership, beat } = setUp();
     expect(beat(instance('a1'), false).resend).toBe(true);
     expect(membership.current().size).toBe(0);
@@ -50,14 +50,14 @@
 
   it('notifies listeners of a changed state at once, but not of a changed revision', () => {
     const { membership, beat } = setUp();
-    const told: string[] = [];
-    membership.onChange((names) => told.push(...names));
+    const notified: string[] = [];
+    membership.onChange((names) => notified.push(...names));
     beat(instance('a1'));
     beat(instance('a1', { revision: 7n }), false);
-    expect(told).toEqual(['a1']);
+    expect(notified).toEqual(['a1']);
     expect(membership.reported()[0]?.revision).toBe(7n);
     beat(instance('a1', { sequence: 2n, address: '127.0.0.1:9' }));
-    expect(told).toEqual(['a1', 'a1']);
+    expect(notified).toEqual(['a1', 'a1']);
     expect(membership.current().get('a1')?.address).toBe('127.0.0.1:9');
     beat(instance('a1', { sequence: 3n, health: LEAVING }));
     expect(membership.current().get('a1')?.health).toBe('leaving');
