--- a/packages/directory/src/call/claimClient.ts
+++ b/packages/directory/src/call/claimClient.ts
@@ -6,7 +6,7 @@
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import { controlMessage } from '@jasmineroute/protocol';
-import type { Controls } from './controls.js';
+import type { Controls } from './controlClient.js';
 
 /** Request for a claim. */
 export type ClaimRequest = MessageInitShape<typeof controlMessage.ClaimRequestSchema>;
--- a/packages/directory/src/call/controls.spec.ts
+++ b/packages/directory/src/call/controlClient.spec.ts
@@ -9,7 +9,7 @@
 import { afterEach, describe, expect, it } from 'vitest';
 import { ClaimClient } from './claimClient.js';
 import { ControlAddresses } from './controlAddresses.js';
-import { Controls } from './controls.js';
+import { Controls } from './controlClient.js';
 
 const closers: (() => Promise<unknown>)[] = [];
 
--- a/packages/directory/src/call/index.ts
+++ b/packages/directory/src/call/index.ts
@@ -1,6 +1,6 @@
 /** Calls to control instances. */
 export * from './controlAddresses.js';
-export * from './controls.js';
+export * from './controlClient.js';
 export * from './callLimit.js';
 export * from './claimClient.js';
 export * from './turnClient.js';
--- a/packages/directory/src/call/turnClient.ts
+++ b/packages/directory/src/call/turnClient.ts
@@ -4,7 +4,7 @@
 import { createClient } from '@connectrpc/connect';
 import type { Fault } from '@jasmineroute/core';
 import { controlMessage } from '@jasmineroute/protocol';
-import type { Controls } from './controls.js';
+import type { Controls } from './controlClient.js';
 
 /** Request to take or renew a turn. */
 export type TakeRequest = MessageInitShape<typeof controlMessage.TakeRequestSchema>;
