--- a/packages/agent/src/order/turn.ts
+++ b/packages/agent/src/order/turn.ts
@@ -91,7 +91,7 @@
   }
 
   /** Stops renewing without releasing: no other holder gets the turn until the lease expires. */
-  lapse(): void {
+  letExpire(): void {
     this.ended.abort(new Error('the turn was left to expire'));
   }
 
--- a/packages/agent/src/role/agent.ts
+++ b/packages/agent/src/role/agent.ts
@@ -182,7 +182,7 @@
       clock,
       log,
       metrics,
-      wantInstances: this.settings.kind === 'model',
+      includeInstances: this.settings.kind === 'model',
       services: [this.settings.service],
       folder: dataFolder,
       onSuperseded: () => {
--- a/packages/agent/src/role/orderTask.ts
+++ b/packages/agent/src/role/orderTask.ts
@@ -1,5 +1,5 @@
 /** The executor of an agent and the withdrawal of models from its gate. */
-import { Controls, TurnClient } from '@jasmineroute/directory';
+import { ControlClient, TurnClient } from '@jasmineroute/directory';
 import type { DirectoryClient } from '@jasmineroute/directory';
 import type { Engine } from '@jasmineroute/engine';
 import type { RoleContext } from '@jasmineroute/protocol';
@@ -70,7 +70,7 @@
       name,
       incarnation,
       engine,
-      turns: new TurnClient(new Controls({ controls, peers, clock, metrics, addresses, dataCentre })),
+      turns: new TurnClient(new ControlClient({ controls, peers, clock, metrics, addresses, dataCentre })),
       view,
       clock,
       log,
--- a/packages/control/src/bench/followers.ts
+++ b/packages/control/src/bench/followers.ts
@@ -6,7 +6,7 @@
 import { FollowService, OtherControls } from '../follow/index.js';
 import { RecentReports } from '../recent/index.js';
 import { createState } from '../role/createState.js';
-import { RelayedTargets, TargetBook } from '../targets/index.js';
+import { RelayedTargets, TargetRegistry } from '../targets/index.js';
 
 /** Entries and targets of a run. */
 const SIZES = [
@@ -37,7 +37,7 @@
   const ended = new AbortController();
   const service = new FollowService({
     configuration,
-    targets: new TargetBook(systemClock, silentLog, HEARTBEAT_MS),
+    targets: new TargetRegistry(systemClock, silentLog, HEARTBEAT_MS),
     relayed,
     others: new OtherControls({ relayed, loads, work, vouched: () => true, clock: systemClock }),
     loads,
--- a/packages/control/src/follow/followService.spec.ts
+++ b/packages/control/src/follow/followService.spec.ts
@@ -6,7 +6,7 @@
 import { RecentReports } from '../recent/index.js';
 import { createState } from '../role/createState.js';
 import type { ControlState } from '../state/index.js';
-import { RelayedTargets, TargetBook } from '../targets/index.js';
+import { RelayedTargets, TargetRegistry } from '../targets/index.js';
 import { FollowService } from './followService.js';
 import { OtherControls } from './otherControls.js';
 
@@ -33,7 +33,7 @@
   service = new FollowService({
     ...boards,
     configuration,
-    targets: new TargetBook(systemClock, silentLog, HEARTBEAT_MS),
+    targets: new TargetRegistry(systemClock, silentLog, HEARTBEAT_MS),
     relayed,
     others: new OtherControls({ ...boards, relayed, vouched, clock: systemClock }),
     lostStores: () => [],
--- a/packages/control/src/follow/followSources.ts
+++ b/packages/control/src/follow/followSources.ts
@@ -2,14 +2,14 @@
 import type { KeptParts } from '@jasmineroute/protocol';
 import type { ConfigurationState } from '../configuration/index.js';
 import type { CommandLog } from '../log/index.js';
-import type { RelayedTargets, TargetBook } from '../targets/index.js';
+import type { RelayedTargets, TargetRegistry } from '../targets/index.js';
 import type { OtherControls } from './otherControls.js';
 import type { ReportSinks } from './reportReceiver.js';
 
 /** The state that the streams send. */
 export interface FollowSources extends ReportSinks {
   readonly configuration: ConfigurationState;
-  readonly targets: TargetBook;
+  readonly targets: TargetRegistry;
   /** Targets that other control instances relay. */
   readonly relayed: RelayedTargets;
   readonly others: OtherControls;
--- a/packages/control/src/role/control.ts
+++ b/packages/control/src/role/control.ts
@@ -22,7 +22,7 @@
 import { ControlDocumentSource, localStatus, clusterStatus } from '../status/index.js';
 import { StoreMonitor } from '../stores/index.js';
 import type { StorePort } from '../stores/index.js';
-import { RelayedTargets, TargetBook } from '../targets/index.js';
+import { RelayedTargets, TargetRegistry } from '../targets/index.js';
 import { LogTimeAdvancer } from '../time/index.js';
 import { TurnService } from '../turns/index.js';
 import { RemoteWeightUpdater } from '../weights/index.js';
@@ -53,7 +53,7 @@
   /** Numbered configurations, for operator APIs in this process. */
   readonly configurations: ConfigurationService;
   /** Announced targets, for APIs in this process that targets call. */
-  readonly targets: TargetBook;
+  readonly targets: TargetRegistry;
   private readonly loads: RecentReports<controlMessage.TargetLoad>;
   private readonly work: RecentReports<controlMessage.EntryWork>;
   private readonly relayed: RelayedTargets;
@@ -84,7 +84,7 @@
     this.documentSource = new ControlDocumentSource(state.documents, commandLog);
     this.logTimeAdvancer = new LogTimeAdvancer(state.machine, commandLog, this.proposer, clock, log);
     this.replicaReconciler = new ReplicaReconciler(this.view, commandLog, clock, log);
-    this.targets = new TargetBook(clock, log, settings.targetHeartbeatMs);
+    this.targets = new TargetRegistry(clock, log, settings.targetHeartbeatMs);
     this.loads = new RecentReports(clock);
     this.work = new RecentReports(clock);
     this.relayed = new RelayedTargets(clock);
@@ -156,7 +156,7 @@
     serveDirectory(router, {
       documents: this.documentSource,
       instances: this.members,
-      beats: this.members,
+      heartbeats: this.members,
       clock,
       ended: this.ended.signal,
     });
--- a/packages/control/src/role/controlCluster.spec.ts
+++ b/packages/control/src/role/controlCluster.spec.ts
@@ -1,5 +1,5 @@
 import { silentMetrics, systemClock } from '@jasmineroute/core';
-import { ClaimClient, ControlAddresses, Controls } from '@jasmineroute/directory';
+import { ClaimClient, ControlAddresses, ControlClient } from '@jasmineroute/directory';
 import { Peers, controlMessage } from '@jasmineroute/protocol';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { Cluster, controlText, modelText, until } from '../fixture/index.js';
@@ -193,7 +193,7 @@
       () => (draw += 0.1),
     );
     const options = { controls, addresses, peers, clock: systemClock, metrics: silentMetrics };
-    const client = new ClaimClient(new Controls(options));
+    const client = new ClaimClient(new ControlClient(options));
     const state = async (attemptId: string): Promise<controlMessage.ClaimState> => {
       const fields = { service: 'desk', customer: 'lloyd', key: attemptId, attemptId, agent: 'a' };
       const request = { ...fields, fingerprint: Uint8Array.of(1), windowMs: 60_000n };
--- a/packages/control/src/targets/relayedTargets.spec.ts
+++ b/packages/control/src/targets/relayedTargets.spec.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { RelayedTargets } from './relayedTargets.js';
-import { TargetBook } from './targetRegistry.js';
+import { TargetRegistry } from './targetRegistry.js';
 
 const { Announcement } = controlMessage;
 
@@ -25,7 +25,7 @@
   readonly view = new ClusterView(this.clock, silentLog);
   private readonly registries = Array.from(
     { length: CONTROLS },
-    () => new TargetBook(this.clock, silentLog, 1_000),
+    () => new TargetRegistry(this.clock, silentLog, 1_000),
   );
   private readonly relays = Array.from({ length: CONTROLS }, () => new RelayedTargets(this.clock));
   /** Change number up to which `from` has sent to `to`; absent: its stream has just begun. */
--- a/packages/control/src/targets/targetRegistry.spec.ts
+++ b/packages/control/src/targets/targetRegistry.spec.ts
@@ -2,7 +2,7 @@
 import { ManualClock, silentLog } from '@jasmineroute/core';
 import { controlMessage } from '@jasmineroute/protocol';
 import { beforeEach, describe, expect, it } from 'vitest';
-import { TargetBook } from './targetRegistry.js';
+import { TargetRegistry } from './targetRegistry.js';
 import type { Heartbeat } from './targetRegistry.js';
 
 const HEARTBEAT_MS = 1_000;
@@ -23,11 +23,11 @@
 
 describe('the target registry', () => {
   let clock: ManualClock;
-  let registry: TargetBook;
+  let registry: TargetRegistry;
 
   beforeEach(() => {
     clock = new ManualClock();
-    registry = new TargetBook(clock, silentLog, HEARTBEAT_MS);
+    registry = new TargetRegistry(clock, silentLog, HEARTBEAT_MS);
   });
 
   const state = (id = 't1'): controlMessage.Announcement | undefined =>
--- a/packages/control/src/targets/targetRegistry.ts
+++ b/packages/control/src/targets/targetRegistry.ts
@@ -61,7 +61,7 @@
  * Targets that were reported to this instance. Each control instance keeps its own list and followers merge all of them, so a
  * heartbeat may go to any instance, and none waits for a quorum.
  */
-export class TargetBook {
+export class TargetRegistry {
   private readonly entries = new Map<string, TargetRecord>();
   private readonly newestStarts = new NewestStarts();
   private readonly listeners = new Set<() => void>();
--- a/packages/ctl/src/control/controls.ts
+++ b/packages/ctl/src/control/controls.ts
@@ -3,7 +3,7 @@
 import type { CallOptions, Client } from '@connectrpc/connect';
 import { fault, silentMetrics } from '@jasmineroute/core';
 import type { Clock, Fault } from '@jasmineroute/core';
-import { Controls } from '@jasmineroute/directory';
+import { ControlClient } from '@jasmineroute/directory';
 import { controlMessage, errorOf } from '@jasmineroute/protocol';
 import type { Peers } from '@jasmineroute/protocol';
 import { err, ok } from 'neverthrow';
@@ -35,13 +35,13 @@
 
 /** The documents services. Attempts are repeated: only calls that a repetition doesn't harm may be made. */
 export class DocumentControls {
-  private readonly controls: Controls;
+  private readonly controls: ControlClient;
   private readonly clock: Clock;
   private readonly timeoutMs: number;
 
   constructor({ addresses, peers, clock, timeoutMs }: DocumentControlsOptions) {
     this.clock = clock;
-    this.controls = new Controls({ controls: addresses, peers, clock, metrics: silentMetrics });
+    this.controls = new ControlClient({ controls: addresses, peers, clock, metrics: silentMetrics });
     this.timeoutMs = timeoutMs;
   }
 
--- a/packages/directory/src/bench/detect.ts
+++ b/packages/directory/src/bench/detect.ts
@@ -37,7 +37,7 @@
     clock: systemClock,
     log: silentLog,
     metrics: silentMetrics,
-    wantInstances: false,
+    includeInstances: false,
   });
   await client.start(() => ({ address, dataCentre: 'here' }));
   return { name, client, server };
--- a/packages/directory/src/bench/watcherThread.ts
+++ b/packages/directory/src/bench/watcherThread.ts
@@ -79,7 +79,7 @@
     clock: systemClock,
     log: silentLog,
     metrics: silentMetrics,
-    wantInstances: plan.role === 'entry',
+    includeInstances: plan.role === 'entry',
     folder: plan.folder === undefined ? undefined : join(plan.folder, `${plan.prefix}-${index}`),
   });
   const startedAt = machineTime();
--- a/packages/directory/src/call/claimClient.ts
+++ b/packages/directory/src/call/claimClient.ts
@@ -6,7 +6,7 @@
 import { fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import { controlMessage } from '@jasmineroute/protocol';
-import type { Controls } from './controlClient.js';
+import type { ControlClient } from './controlClient.js';
 
 /** Request for a claim. */
 export type ClaimRequest = MessageInitShape<typeof controlMessage.ClaimRequestSchema>;
@@ -19,7 +19,7 @@
 
 /** Takes and settles claims. Requests carry the attempt's id, so that retries on other control instances are safe. */
 export class ClaimClient {
-  constructor(private readonly controls: Controls) {}
+  constructor(private readonly controls: ControlClient) {}
 
   /**
    * Claims the key for an attempt.
--- a/packages/directory/src/call/controlClient.spec.ts
+++ b/packages/directory/src/call/controlClient.spec.ts
@@ -9,7 +9,7 @@
 import { afterEach, describe, expect, it } from 'vitest';
 import { ClaimClient } from './claimClient.js';
 import { ControlAddresses } from './controlAddresses.js';
-import { Controls } from './controlClient.js';
+import { ControlClient } from './controlClient.js';
 
 const closers: (() => Promise<unknown>)[] = [];
 
@@ -44,7 +44,7 @@
 }
 
 /** Calls the given addresses in this order. */
-function controlsOf(...controls: string[]): Controls {
+function controlsOf(...controls: string[]): ControlClient {
   const peers = new Peers();
   let draw = 0;
   const inOrder = (): number => (draw += 1);
@@ -53,12 +53,12 @@
     peers.close();
     return Promise.resolve();
   });
-  return new Controls({ controls, addresses, peers, clock: systemClock, metrics: silentMetrics });
+  return new ControlClient({ controls, addresses, peers, clock: systemClock, metrics: silentMetrics });
 }
 
 const turn = { name: 't', holder: 'h', limit: 1, ttlMs: 1_000 };
 
-const take = (controls: Controls, timeoutMs = 4_000) =>
+const take = (controls: ControlClient, timeoutMs = 4_000) =>
   controls.call(
     (transport, signal) => createClient(controlMessage.Turns, transport).take(turn, { signal }),
     timeoutMs,
--- a/packages/directory/src/call/controlClient.ts
+++ b/packages/directory/src/call/controlClient.ts
@@ -34,7 +34,7 @@
 export type ControlCall<T> = (transport: Transport, signal: AbortSignal) => Promise<T>;
 
 /** Calls with failover that report whether a failed call may have run. */
-export class Controls {
+export class ControlClient {
   private readonly addresses: ControlAddresses;
   private preferred = '';
   private readonly attemptMs: number;
--- a/packages/directory/src/call/turnClient.ts
+++ b/packages/directory/src/call/turnClient.ts
@@ -4,7 +4,7 @@
 import { createClient } from '@connectrpc/connect';
 import type { Fault } from '@jasmineroute/core';
 import { controlMessage } from '@jasmineroute/protocol';
-import type { Controls } from './controlClient.js';
+import type { ControlClient } from './controlClient.js';
 
 /** Request to take or renew a turn. */
 export type TakeRequest = MessageInitShape<typeof controlMessage.TakeRequestSchema>;
@@ -13,7 +13,7 @@
 
 /** Takes, renews and releases turns. Taking a turn again under the same holder renews it. */
 export class TurnClient {
-  constructor(private readonly controls: Controls) {}
+  constructor(private readonly controls: ControlClient) {}
 
   /** @returns whether the turn is granted, and its fencing number. */
   take(request: TakeRequest, timeoutMs: number): Promise<Result<controlMessage.TakeResponse, Fault>> {
--- a/packages/directory/src/client/directoryClient.ts
+++ b/packages/directory/src/client/directoryClient.ts
@@ -36,7 +36,7 @@
   readonly log: Log;
   readonly metrics: Metrics;
   /** Whether the view includes instances. */
-  readonly wantInstances: boolean;
+  readonly includeInstances: boolean;
   /** Services to watch. Default: all. */
   readonly services?: readonly string[];
   /** Folder in which the view is saved for the next start. Default: not saved. */
@@ -162,7 +162,7 @@
   }
 
   private request(): controlMessage.WatchRequest {
-    const { name, wantInstances, services = [] } = this.options;
+    const { name, includeInstances: wantInstances, services = [] } = this.options;
     const view = this.view();
     this.applier.begin();
     return create(controlMessage.WatchRequestSchema, {
--- a/packages/directory/src/server/serveDirectory.ts
+++ b/packages/directory/src/server/serveDirectory.ts
@@ -19,7 +19,7 @@
  */
 export function serveDirectory(router: ConnectRouter, source: DirectorySource): void {
   const hub = hubOf(source);
-  const { beats, ended } = source;
+  const { heartbeats: beats, ended } = source;
   router.service(controlMessage.Directory, {
     watch: (request, { signal }) => {
       const both = ended === undefined ? signal : AbortSignal.any([signal, ended]);
--- a/packages/directory/src/server/source.ts
+++ b/packages/directory/src/server/source.ts
@@ -38,7 +38,7 @@
   readonly instances: InstanceSource;
   readonly clock: Clock;
   /** Absent if the process does not receive heartbeats. */
-  readonly beats?: HeartbeatReceiver;
+  readonly heartbeats?: HeartbeatReceiver;
   /** Aborted when this process stops serving: open streams end, and their watchers switch to another source. */
   readonly ended?: AbortSignal;
 }
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -5,7 +5,13 @@
 import { runLasting } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import type { Readiness, RoleContext, RoleProcess } from '@jasmineroute/protocol';
-import { ClaimClient, Controls, DirectoryClient, serveDirectory, viewSource } from '@jasmineroute/directory';
+import {
+  ClaimClient,
+  ControlClient,
+  DirectoryClient,
+  serveDirectory,
+  viewSource,
+} from '@jasmineroute/directory';
 import type { Announcement, RelayedDirectory } from '@jasmineroute/directory';
 import { RetryBudget, loadHasher } from '@jasmineroute/routing';
 import { AttemptIds, Claims } from './claim/index.js';
@@ -70,11 +76,13 @@
     clock,
     log,
     metrics,
-    wantInstances: true,
+    includeInstances: true,
     folder: dataFolder,
   });
   const { addresses } = directory;
-  const store = new ClaimClient(new Controls({ controls, peers, clock, metrics, addresses, dataCentre }));
+  const store = new ClaimClient(
+    new ControlClient({ controls, peers, clock, metrics, addresses, dataCentre }),
+  );
   return { directory, claims: store };
 }
 
@@ -143,7 +151,7 @@
   async drain(): Promise<void> {
     const { clock, log } = this.context;
     this.draining = true;
-    this.server.turnAway();
+    this.server.stopKeepAlive();
     this.leaving.abort(new Error('stopping'));
     log.event(entryEvents.draining, { open: this.callers.openRequests });
     await clock.sleep(this.settings.drainDelayMs);
--- a/packages/entry/src/http/server.ts
+++ b/packages/entry/src/http/server.ts
@@ -94,7 +94,7 @@
   /**
    * Changes the timeouts of idle connections and request heads. Open connections use them from their next request on.
    */
-  bound(idleTimeoutMs: number, headerTimeoutMs: number): void {
+  setTimeouts(idleTimeoutMs: number, headerTimeoutMs: number): void {
     this.server.keepAliveTimeout = idleTimeoutMs;
     this.server.headersTimeout = headerTimeoutMs;
   }
@@ -108,7 +108,7 @@
    * From now on answers carry `Connection: close`, so that callers reconnect and the load balancer picks another
    * entry.
    */
-  turnAway(): void {
+  stopKeepAlive(): void {
     this.stopping = true;
   }
 
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -117,7 +117,7 @@
     });
     knowledge.onChange(() => {
       const limits = knowledge.table()?.configuration.limits;
-      if (limits !== undefined) this.server.bound(limits.idleTimeoutMs, limits.headerTimeoutMs);
+      if (limits !== undefined) this.server.setTimeouts(limits.idleTimeoutMs, limits.headerTimeoutMs);
     });
   }
 
@@ -169,7 +169,7 @@
     this.draining = true;
     this.stopsAt = clock.monotonic() + this.settings.graceMs;
     log.event(relayEvents.draining, { open: this.open });
-    this.server.turnAway();
+    this.server.stopKeepAlive();
     await clock.sleep(this.settings.drainDelayMs);
     await this.server.drain(CONNECTION_DRAIN_MS);
     log.event(relayEvents.drained);
--- a/packages/rollout/src/rollout.ts
+++ b/packages/rollout/src/rollout.ts
@@ -1,6 +1,6 @@
 /** Role of the process beside a target. */
 import { runLasting } from '@jasmineroute/core';
-import { ChangeSignal, Controls, TurnClient } from '@jasmineroute/directory';
+import { ChangeSignal, ControlClient, TurnClient } from '@jasmineroute/directory';
 import { Follower, ClusterView, ReportSender } from '@jasmineroute/knowledge';
 import type { Readiness, RoleContext, RoleProcess } from '@jasmineroute/protocol';
 import { rolloutEvents } from './events.js';
@@ -50,7 +50,9 @@
     const followerParts = { name, role: 'agent', listener: knowledge, peers, clock, log } as const;
     this.follower = new Follower({ ...followerParts, controls, maxFollowed: FOLLOWED_CONTROLS });
     const attemptMs = TURN_ATTEMPT_TIMEOUT_MS;
-    const turns = new TurnClient(new Controls({ controls, peers, clock, metrics, dataCentre, attemptMs }));
+    const turns = new TurnClient(
+      new ControlClient({ controls, peers, clock, metrics, dataCentre, attemptMs }),
+    );
     const observer = new Observer(() => this.follower.controls(), peers, log);
     const { address, port } = target;
     const controlParts = { controls: () => this.follower.controls(), peers, clock, log };
--- a/packages/rollout/src/sidecar/weightsUpdater.ts
+++ b/packages/rollout/src/sidecar/weightsUpdater.ts
@@ -217,7 +217,7 @@
     try {
       await this.load(target, missing, { turn, orders });
     } finally {
-      orders.lapse();
+      orders.letExpire();
     }
   }
 
