--- a/scripts/capacity/workers/claimWorker.mjs
+++ b/scripts/capacity/workers/claimWorker.mjs
@@ -1,7 +1,7 @@
 // Claims and settlements at a steady rate, as entries make them.
 import { createHash } from 'node:crypto';
 import { silentMetrics, systemClock } from '@jasmineroute/core';
-import { ClaimClient, Controls } from '@jasmineroute/directory';
+import { ClaimClient, ControlClient } from '@jasmineroute/directory';
 import { Peers, controlMessage } from '@jasmineroute/protocol';
 import { answerQuestions } from '../workerProcess.mjs';
 
@@ -36,7 +36,7 @@
 answerQuestions({
   open({ controls }) {
     const parts = { controls, peers: new Peers(), clock: systemClock, metrics: silentMetrics };
-    claims = new ClaimClient(new Controls(parts));
+    claims = new ClaimClient(new ControlClient(parts));
   },
   async run({ perSecond, ms }) {
     const wanted = Math.round((perSecond * ms) / 1_000);
--- a/scripts/capacity/workers/nodeWorker.mjs
+++ b/scripts/capacity/workers/nodeWorker.mjs
@@ -50,7 +50,7 @@
       clock: systemClock,
       log: silentLog,
       metrics: silentMetrics,
-      wantInstances: role === 'entry',
+      includeInstances: role === 'entry',
       services: role === 'entry' ? undefined : [own.target.service],
       folder: folder === '' ? undefined : folder,
     });
--- a/scripts/capacity/workers/viewWorker.mjs
+++ b/scripts/capacity/workers/viewWorker.mjs
@@ -31,7 +31,7 @@
 
 function withCustomers(count) {
   const builder = new ViewBuilder();
-  builder.put(builder.plan([stored('pool', count, 1n)], 1n).view);
+  builder.applyDocuments(builder.plan([stored('pool', count, 1n)], 1n).view);
   return builder;
 }
 
@@ -40,7 +40,7 @@
   const documents = Array.from({ length: count }, (_, place) =>
     stored(`service-${place}`, CUSTOMERS_OF_DOCUMENT, BigInt(place + 1)),
   );
-  builder.put(builder.plan(documents, BigInt(count)).view);
+  builder.applyDocuments(builder.plan(documents, BigInt(count)).view);
   return builder;
 }
 
--- a/scripts/capacity/workers/watcherWorker.mjs
+++ b/scripts/capacity/workers/watcherWorker.mjs
@@ -45,7 +45,7 @@
     clock: systemClock,
     log: silentLog,
     metrics: silentMetrics,
-    wantInstances: role === 'entry',
+    includeInstances: role === 'entry',
     services: role === 'entry' ? undefined : [own.target.service],
   });
   let last = -1n;
