--- a/packages/coordination/src/membership/member.ts
+++ b/packages/coordination/src/membership/member.ts
@@ -1,100 +1,100 @@
-/** Members, beats and what is told of them. */
+/** Members, heartbeats and the reports that observers exchange. */
 
 /** State of a member. */
 export type Liveness = 'alive' | 'suspect' | 'leaving' | 'down';
 
 /**
  * Why a member is in its state:
- * - heard: beats come on time;
- * - slow: beats come late, or its address takes connections while no beats come;
- * - silent: no beats, and nothing else is known;
- * - crashed: its address refuses connections, so the process is gone while its host and the way to it are not;
- * - mass-silence: many fell silent at one time, which points to the observer or the network;
- * - observer-cut-off: the observer itself is out of touch, so silence says nothing of the member;
- * - left: it said that it leaves.
+ * - heard: heartbeats arrive on time;
+ * - slow: heartbeats arrive late, or its address accepts connections while no heartbeats arrive;
+ * - silent: no heartbeats arrive, and there is no other evidence;
+ * - crashed: its address refuses connections: the host and the network work, but the process is gone;
+ * - mass-silence: many members fell silent at the same time, which points to the observer or the network;
+ * - observer-cut-off: the observer is isolated, so silence is no evidence about the member;
+ * - left: it announced that it is leaving.
  */
 export type Cause = 'heard' | 'slow' | 'silent' | 'crashed' | 'mass-silence' | 'observer-cut-off' | 'left';
 
-/** What a try to connect to a suspect's address showed. */
+/** Result of a connection attempt to a suspect's address. */
 export type Evidence = 'refused' | 'accepted' | 'unreachable';
 
-/** A sign of life. */
+/** A heartbeat. */
 export interface Beat {
   readonly name: string;
   /** New for each start of the process; larger is newer. */
   readonly incarnation: bigint;
-  /** Order of states of one incarnation. */
+  /** Orders the heartbeats of one incarnation. */
   readonly sequence: bigint;
   readonly leaving: boolean;
 }
 
-/** What became of a beat: it counts, a later state was known, or a newer process has the name. */
-export type BeatVerdict = 'taken' | 'outdated' | 'superseded';
+/** Outcome of a heartbeat: accepted, older than a known one, or from a process that a newer one has replaced. */
+export type BeatOutcome = 'taken' | 'outdated' | 'superseded';
 
-/** The observer that hears a member, and its count of changes, which orders what it says. */
+/** The observer that receives a member's heartbeats, and its change number, which orders its reports. */
 export interface Source {
   readonly observer: string;
   readonly incarnation: bigint;
   readonly change: bigint;
 }
 
-/** What one observer tells others of a member. */
+/** Report on a member from one observer to the others. */
 export interface MemberReport {
   readonly name: string;
   readonly incarnation: bigint;
   readonly sequence: bigint;
   readonly liveness: Liveness;
   readonly cause: Cause;
-  /** Milliseconds since its last beat. */
+  /** Milliseconds since its last heartbeat. */
   readonly ageMs: number;
   readonly source: Source;
 }
 
-/** An observer that was heard. */
+/** Age of the last contact with an observer. */
 export interface ObserverAge {
   readonly name: string;
   readonly incarnation: bigint;
-  /** Milliseconds since it was last heard, directly or by others. */
+  /** Milliseconds since the last contact, direct or as reported by others. */
   readonly ageMs: number;
 }
 
-/** What changed since a place, for another observer. */
+/** Changes after a change number, for another observer. */
 export interface Digest {
   readonly since: bigint;
   readonly upTo: bigint;
   readonly reports: readonly MemberReport[];
-  /** Other observers that were heard. */
+  /** Contacts with other observers. */
   readonly observers: readonly ObserverAge[];
 }
 
-/** A change of state. */
+/** A state change of a member. */
 export interface Transition {
   readonly name: string;
   readonly incarnation: bigint;
-  /** Absent for a member that was not known. */
+  /** Absent for a member that was unknown before. */
   readonly from?: Liveness;
-  /** Absent for a member that is forgotten. */
+  /** Absent for a member that was removed. */
   readonly to?: Liveness;
   readonly cause: Cause;
 }
 
-/** What the detector holds of a member. */
+/** The detector's record of a member. */
 export interface Member {
   readonly name: string;
   incarnation: bigint;
   sequence: bigint;
   liveness: Liveness;
   cause: Cause;
-  /** It said that it leaves; final for the incarnation. */
-  left: boolean;
-  /** Observer's time of the last beat. */
-  heardAt: number;
-  /** Observer's time since which it is down. */
-  downAt?: number;
-  /** Observer's time since which it is held for mass silence. */
-  heldAt?: number;
+  /** Final for the incarnation. */
+  hasAnnouncedLeave: boolean;
+  /** Observer time of the last heartbeat. */
+  lastBeatAt: number;
+  /** Observer time since which it is down. */
+  downSince?: number;
+  /** Observer time since which it is held as suspect because of mass silence. */
+  massHoldSince?: number;
   evidence?: Evidence;
   source: Source;
-  /** This detector's count at the member's last change. */
+  /** Number of the member's last change in this detector. */
   change: bigint;
 }
--- a/packages/coordination/src/membership/observerTime.ts
+++ b/packages/coordination/src/membership/observerTime.ts
@@ -1,17 +1,17 @@
-/** Time that an observer was awake. */
+/** Time during which an observer was running. */
 import type { Clock } from '@jasmineroute/core';
 
 /**
  * Monotonic time without the observer's own pauses.
  *
- * When the observer's process is stopped for some seconds (a suspended machine, a long collection of garbage, a
- * starved processor), all beats of that time wait unread. On waking, a detector on plain time would find every
- * member silent for seconds and evict them all. It shows as a gap between two steps of the observer that is far
- * longer than its tick; such a gap counts as one tick here, so the beats that waited are read first.
+ * When the observer's process is stopped for some seconds (a suspended machine, a long garbage collection, no
+ * processor time), the heartbeats of that time stay unread. A detector on plain monotonic time would then find every
+ * member silent for seconds and evict all of them. A pause shows as a gap between two readings that is far longer
+ * than the tick; it counts as one tick here, so that the pending heartbeats are read first.
  */
 export class ObserverTime {
   private last: number;
-  private paused = 0;
+  private pausedMs = 0;
 
   constructor(
     private readonly clock: Clock,
@@ -21,12 +21,12 @@
     this.last = clock.monotonic();
   }
 
-  /** Milliseconds awake. Every step of the observer reads it. */
+  /** Milliseconds without pauses. Every step of the observer reads it. */
   now(): number {
     const time = this.clock.monotonic();
     const gap = time - this.last;
     this.last = time;
-    if (gap > this.pauseMs) this.paused += gap - this.tickMs;
-    return time - this.paused;
+    if (gap > this.pauseMs) this.pausedMs += gap - this.tickMs;
+    return time - this.pausedMs;
   }
 }
--- a/packages/coordination/src/membership/silence.ts
+++ b/packages/coordination/src/membership/silence.ts
@@ -1,16 +1,16 @@
-/** Judgement on one silent member. */
+/** Judges a member by the time since its last heartbeat. */
 import type { Cause, Liveness, Member } from './member.js';
 import type { DetectorSettings } from './settings.js';
 
-/** State and why. */
+/** State and the reason for it. */
 export interface Judgement {
   readonly liveness: Liveness;
   readonly cause: Cause;
 }
 
-/** What a member is after `silentMs` without a beat; undefined: as it was. */
+/** State of a member after `silentMs` without a heartbeat; undefined: unchanged. */
 export function judge(member: Member, silentMs: number, settings: DetectorSettings): Judgement | undefined {
-  if (member.left) return silentMs > settings.downAfterMs ? { liveness: 'down', cause: 'left' } : undefined;
+  if (member.hasAnnouncedLeave) return silentMs > settings.downAfterMs ? { liveness: 'down', cause: 'left' } : undefined;
   if (silentMs <= settings.suspectAfterMs) return undefined;
   if (member.evidence === 'refused') return { liveness: 'down', cause: 'crashed' };
   if (member.evidence === 'accepted') return judgeSlow(silentMs, settings);
@@ -18,12 +18,12 @@
   return { liveness: 'suspect', cause: 'silent' };
 }
 
-/** A process that is stopped or starved: its host still takes connections for it. It often comes back. */
+/** The host accepts connections, so the process is only stopped or short of processor time. It often recovers. */
 function judgeSlow(silentMs: number, settings: DetectorSettings): Judgement {
   return { liveness: silentMs > settings.slowDownAfterMs ? 'down' : 'suspect', cause: 'slow' };
 }
 
-/** Whether a judgement rests on nothing but missing beats, which the observer itself may be the reason for. */
-export function restsOnSilence(judgement: Judgement): boolean {
+/** Whether missing heartbeats are the only evidence; the cause of them may then be the observer itself. */
+export function isSilenceOnly(judgement: Judgement): boolean {
   return judgement.liveness === 'down' && (judgement.cause === 'silent' || judgement.cause === 'slow');
 }
--- a/scripts/guards/list.mjs
+++ b/scripts/guards/list.mjs
@@ -124,8 +124,8 @@
   {
     name: 'guard against mass eviction by an observer that is cut off',
     file: 'packages/coordination/src/membership/failureDetector.ts',
-    find: "    if (this.vouchedSince === undefined) {\n      for (const member of silent) this.decide(member, 'suspect', 'observer-cut-off', now);\n      return;\n    }\n    const admitted = new Set(this.guard.admit(silent, watched, this.lastHeard, now));",
-    put: '    const admitted = new Set(silent);',
+    find: "    if (this.vouchedSince === undefined) {\n      for (const member of silent) this.setLocalState(member, 'suspect', 'observer-cut-off', now);\n      return;\n    }\n    const evictable = new Set(this.massGuard.selectEvictable(silent, monitored, this.lastBeatAt, now));",
+    put: '    const evictable = new Set(silent);',
     spec: 'packages/proof/src/membership',
     test: 'evicts nobody',
   },
