--- a/packages/coordination/src/storage/delayedDisk.ts
+++ b/packages/coordination/src/storage/delayedDisk.ts
@@ -1,22 +1,22 @@
-/** A disk with slower syncs, so that benchmarks can stand for disks that this machine does not have. */
+/** A disk with slower syncs, with which benchmarks simulate slower hardware. */
 import { performance } from 'node:perf_hooks';
 import type { Disk, DiskFile } from './disk.js';
 
-/** Timers of Node have a resolution of one millisecond; below it, waiting goes by turns of the event loop. */
+/** Node's timers have a resolution of one millisecond; shorter waits poll once per turn of the event loop. */
 const TIMER_RESOLUTION_MS = 1;
 
-const turn = (): Promise<void> =>
+const nextTurn = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
 
-/** Waits `ms` milliseconds, also fractions of one. */
-async function wait(ms: number): Promise<void> {
+/** Waits `ms` milliseconds, which may be a fraction. */
+async function sleepPrecisely(ms: number): Promise<void> {
   const end = performance.now() + ms;
   if (ms > TIMER_RESOLUTION_MS) {
     await new Promise((resolve) => setTimeout(resolve, ms - TIMER_RESOLUTION_MS));
   }
-  while (performance.now() < end) await turn();
+  while (performance.now() < end) await nextTurn();
 }
 
 const slowFile = (file: DiskFile, delayMs: number): DiskFile => ({
@@ -24,12 +24,12 @@
   write: (data, position) => file.write(data, position),
   truncate: (length) => file.truncate(length),
   sync: async () => {
-    await Promise.all([file.sync(), wait(delayMs)]);
+    await Promise.all([file.sync(), sleepPrecisely(delayMs)]);
   },
   close: () => file.close(),
 });
 
-/** The same disk, with syncs of files that take at least `delayMs` milliseconds. */
+/** Wraps a disk so that each file sync takes at least `delayMs` milliseconds. */
 export function delayedDisk(disk: Disk, delayMs: number): Disk {
   return {
     ...disk,
--- a/packages/coordination/src/storage/disk.ts
+++ b/packages/coordination/src/storage/disk.ts
@@ -1,40 +1,40 @@
-/** Port to the file system: what the journal and the snapshots need of it, and no more. */
+/** Port to the file system, limited to what the journal and the snapshots need. */
 
-/** Gives up the lock on a folder. */
-export type Release = () => Promise<void>;
+/** Releases the lock on a folder. */
+export type ReleaseLock = () => Promise<void>;
 
 /** An open file. All methods reject with a Node system error (`code` such as `ENOSPC`). */
 export interface DiskFile {
   /** Bytes in the file. */
   size(): Promise<number>;
-  /** Writes all of `data` at `position`. A rejected write may have left a part of it. */
+  /** Writes all of `data` at `position`. A rejected write may have written part of it. */
   write(data: Uint8Array, position: number): Promise<void>;
-  /** Cuts the file to `length` bytes. */
+  /** Truncates the file to `length` bytes. */
   truncate(length: number): Promise<void>;
-  /** Resolves once data and length survive a power cut. */
+  /** Resolves once data and length are durable. */
   sync(): Promise<void>;
   close(): Promise<void>;
 }
 
 /** A file system. Paths are absolute or relative to the process; all methods reject with system errors. */
 export interface Disk {
-  /** Creates the folder, durably, when it is missing. The folder above must exist. */
+  /** Creates the folder, durably, if it is missing. The parent folder must exist. */
   ensureFolder(path: string): Promise<void>;
   /** Names of the files in a folder. */
   list(folder: string): Promise<string[]>;
   read(path: string): Promise<Uint8Array>;
-  /** Opens for reading and writing; creates an empty file when there is none. */
+  /** Opens for reading and writing; creates an empty file if it is missing. */
   open(path: string): Promise<DiskFile>;
-  /** Replaces `to` by `from` in one step; lasting only after `syncFolder`. */
+  /** Atomically replaces `to` by `from`; durable only after `syncFolder`. */
   rename(from: string, to: string): Promise<void>;
   remove(path: string): Promise<void>;
-  /** Makes created, renamed and removed names of a folder last. */
+  /** Makes created, renamed and removed names in a folder durable. */
   syncFolder(folder: string): Promise<void>;
-  /** Takes the folder for this process alone. Rejects with `FolderLocked` when another one has it. */
-  lock(folder: string): Promise<Release>;
+  /** Locks the folder for this process. Rejects with `FolderLocked` when another process holds the lock. */
+  lock(folder: string): Promise<ReleaseLock>;
 }
 
-/** Another process uses the folder. */
+/** Another process has locked the folder. */
 export class FolderLocked extends Error {
   readonly code = 'FOLDER_LOCKED';
 
--- a/packages/coordination/src/storage/fileDisk.ts
+++ b/packages/coordination/src/storage/fileDisk.ts
@@ -1,4 +1,4 @@
-/** The machine's file system behind the disk port. */
+/** The disk port on the machine's file system. */
 import { mkdir, open, readFile, readdir, rename, unlink } from 'node:fs/promises';
 import type { FileHandle } from 'node:fs/promises';
 import { constants } from 'node:fs';
@@ -26,8 +26,8 @@
 });
 
 /**
- * A new name in a folder lives in the folder's own blocks: after a power cut the file can be there without its
- * name, or the old name can be back. Syncing the folder is what makes the name last.
+ * File names are stored in the blocks of their folder: after a power failure a file may have lost its new name, or
+ * have its old one again, unless the folder was synced.
  */
 async function syncFolder(folder: string): Promise<void> {
   const handle = await open(folder, 'r');
@@ -48,7 +48,7 @@
   await syncFolder(dirname(path));
 }
 
-/** Files on the machine's disk; `sync` is `fdatasync`. */
+/** Files on the machine's disk; `sync` calls `fdatasync`. */
 export const fileDisk: Disk = {
   ensureFolder,
   list: (folder) => readdir(folder),
@@ -61,8 +61,8 @@
 };
 
 /**
- * A disk whose folders are not locked: for platforms that never run two processes on one folder, and whose disks
- * have no hard links, which the lock needs to appear with its whole content at once.
+ * A disk without folder locks, for platforms that never run two processes on one folder and whose disks have no
+ * hard links. The lock needs them so that the lock file appears with its whole content at once.
  */
 export function withoutLock(disk: Disk): Disk {
   const unlocked = Object.create(disk) as Disk;
--- a/packages/coordination/src/storage/folderLock.ts
+++ b/packages/coordination/src/storage/folderLock.ts
@@ -1,24 +1,24 @@
-/** A lock file that tells which process has a folder, and whether that process still lives. */
+/** A lock file that identifies the process that uses a folder, so that a stale lock can be detected. */
 import { link, readFile, rename, rm, writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { newId } from '@jasmineroute/core';
 import { FolderLocked } from './disk.js';
-import type { Release } from './disk.js';
+import type { ReleaseLock } from './disk.js';
 
 const LOCK_FILE = 'lock';
 
-/** Takeovers of stale locks that are tried before giving up. */
+/** Attempts to take over a stale lock before giving up. */
 const MAX_TAKEOVERS = 5;
 
-/** Field of /proc/<pid>/stat, counted after the command's closing bracket, that holds the start time. */
+/** Index of the start time in /proc/<pid>/stat, counted from the field after the command's closing bracket. */
 const START_TIME_FIELD = 19;
 
 /** One process on one boot of one machine. */
 interface Holder {
   readonly pid: number;
-  /** Start time in clock ticks since boot; empty where /proc is not at hand. */
+  /** Start time in clock ticks since boot; empty where /proc is not available. */
   readonly started: string;
-  /** Id of the boot; empty where /proc is not at hand. */
+  /** Id of the boot; empty where /proc is not available. */
   readonly boot: string;
 }
 
@@ -35,7 +35,7 @@
   return { pid, started: await startTime(pid), boot: boot.trim() };
 }
 
-/** Signal 0 delivers nothing; EPERM means that the process exists and belongs to somebody else. */
+/** Signal 0 only checks for existence; EPERM means that the process exists and belongs to another user. */
 function exists(pid: number): boolean {
   try {
     process.kill(pid, 0);
@@ -46,8 +46,8 @@
 }
 
 /**
- * Process ids are given out again, always so in containers, where the first process is 1 after every restart.
- * A lock by pid alone would then keep its own successor out for good, so the start time and boot count too.
+ * Process ids are reused, in containers always: the first process has id 1 after every restart. A lock by pid alone
+ * would then lock out the restarted process for good, so the start time and the boot id are compared too.
  */
 async function isAlive(holder: Holder): Promise<boolean> {
   if (!exists(holder.pid)) return false;
@@ -63,39 +63,39 @@
   }
 }
 
-/** Creates the lock file with its whole content at once. Returns false when there is one. */
+/** Creates the lock file with its whole content at once. Returns false if it exists already. */
 async function createLock(folder: string, path: string, content: string): Promise<boolean> {
-  const draft = join(folder, `${newId('lock')}.tmp`);
-  await writeFile(draft, content, { mode: 0o600 });
+  const temporaryPath = join(folder, `${newId('lock')}.tmp`);
+  await writeFile(temporaryPath, content, { mode: 0o600 });
   try {
-    await link(draft, path);
+    await link(temporaryPath, path);
     return true;
   } catch (error) {
     if ((error as NodeJS.ErrnoException).code === 'EEXIST') return false;
     throw error;
   } finally {
-    await rm(draft, { force: true });
+    await rm(temporaryPath, { force: true });
   }
 }
 
 /**
- * Puts a stale lock aside. Two processes may find the same stale lock: the second could then put aside the
- * fresh lock of the first. It sees that by the content, puts it back and gives up.
+ * Moves a stale lock away and deletes it. Two processes may find the same stale lock, and the second one could then
+ * move the new lock of the first one. It detects that by the content, restores the lock and gives up.
  */
-async function removeStale(folder: string, path: string, judged: string): Promise<void> {
-  const aside = join(folder, `${newId('lock')}.tmp`);
-  await rename(path, aside);
-  const moved = await readText(aside);
-  if (moved !== judged) {
-    await link(aside, path).catch(() => undefined);
-    await rm(aside, { force: true });
-    throw new FolderLocked(folder, moved);
+async function removeStale(folder: string, path: string, staleContent: string): Promise<void> {
+  const movedPath = join(folder, `${newId('lock')}.tmp`);
+  await rename(path, movedPath);
+  const movedContent = await readText(movedPath);
+  if (movedContent !== staleContent) {
+    await link(movedPath, path).catch(() => undefined);
+    await rm(movedPath, { force: true });
+    throw new FolderLocked(folder, movedContent);
   }
-  await rm(aside, { force: true });
+  await rm(movedPath, { force: true });
 }
 
-/** Takes a folder for this process. @throws FolderLocked when a living process has it. */
-export async function lockFolder(folder: string): Promise<Release> {
+/** Locks a folder for this process. @throws FolderLocked when a running process holds the lock. */
+export async function lockFolder(folder: string): Promise<ReleaseLock> {
   const path = join(folder, LOCK_FILE);
   const content = JSON.stringify(await holderOf(process.pid));
   for (let attempt = 0; attempt < MAX_TAKEOVERS; attempt += 1) {
--- a/packages/coordination/src/storage/frame.ts
+++ b/packages/coordination/src/storage/frame.ts
@@ -14,26 +14,26 @@
 export type FrameEnd =
   /** With a whole record. */
   | 'whole'
-  /** With a record whose write was cut off: nobody was told that it lasts. */
+  /** With an incomplete record: its write was interrupted, so it was never acknowledged. */
   | 'torn'
-  /** With a record whose write is missing or was cut off, and later ones behind it. */
+  /** With a missing or incomplete record, followed by later ones. */
   | 'gap'
-  /** With bytes that no interrupted write leaves: data that was synced has changed. */
+  /** With bytes that no interrupted write can leave: synced data has changed. */
   | 'corrupt';
 
-/** What was read. */
+/** The records that were read. */
 export interface Frames {
   readonly payloads: Uint8Array[];
   /** Offset of each payload's record. */
   readonly offsets: number[];
-  /** Offset behind the last whole record. */
+  /** Offset after the last whole record. */
   readonly end: number;
   readonly ending: FrameEnd;
-  /** Payloads of whole records behind a gap. */
-  readonly later: Uint8Array[];
+  /** Payloads of whole records after a gap. */
+  readonly laterPayloads: Uint8Array[];
 }
 
-/** Makes one record. */
+/** Encodes one record. */
 export function encodeFrame(payload: Uint8Array): Uint8Array {
   const frame = Buffer.alloc(payload.length + FRAME_OVERHEAD_BYTES);
   frame.writeUInt32LE(payload.length, 0);
@@ -47,14 +47,14 @@
 const isZero = (data: Buffer): boolean => data.every((byte) => byte === 0);
 
 /**
- * Tells an interrupted write from changed data. Repairing the first is safe: the record was never acknowledged.
- * Repairing the second would silently forget an acknowledged entry, and with it a majority's promise.
- * An interrupted write leaves a beginning of the record, and behind it nothing or zeros (the length of a file can
- * reach the disk before its data). The length has a checksum of its own, since a flipped bit in it would
- * otherwise pass for a record that ends behind the file; the closing byte keeps a payload that ends in zeros
- * from passing for one that was cut off.
+ * Distinguishes an interrupted write from changed data. Repairing the first is safe: the record was never
+ * acknowledged. Repairing the second would silently drop an acknowledged entry, which a quorum may rely on.
+ * An interrupted write leaves the beginning of the record, followed by nothing or zeros (the length of a file can
+ * reach the disk before its data). The length has its own checksum, since a flipped bit in it would otherwise look
+ * like a record that extends past the end of the file. The closing byte distinguishes a payload that ends in zeros
+ * from an incomplete one.
  */
-function endingOf(rest: Buffer): FrameEnd {
+function classifyEnd(rest: Buffer): FrameEnd {
   if (rest.length === 0) return 'whole';
   if (rest.length < HEADER_BYTES) return 'torn';
   if (crc32(rest.subarray(0, 4)) !== rest.readUInt32LE(4)) {
@@ -65,7 +65,7 @@
   return isZero(rest.subarray(length - 1)) ? 'torn' : 'corrupt';
 }
 
-/** Payload of the record at `offset`, or undefined when there is no whole one. */
+/** Payload of the record at `offset`, or undefined if there is no whole record. */
 function payloadAt(data: Buffer, offset: number): Buffer | undefined {
   if (data.length < offset + FRAME_OVERHEAD_BYTES) return undefined;
   const header = data.subarray(offset, offset + HEADER_BYTES);
@@ -77,15 +77,15 @@
   return crc32(payload) === header.readUInt32LE(8) ? payload : undefined;
 }
 
-/** Whole records, one behind the other. */
-interface Run {
+/** Consecutive whole records. */
+interface RecordRun {
   readonly payloads: Uint8Array[];
   readonly offsets: number[];
   readonly end: number;
 }
 
-/** Reads the records from `start` on, up to the first that is not whole. */
-function readRun(data: Buffer, start: number): Run {
+/** Reads the records from `start` up to the first one that is not whole. */
+function readRun(data: Buffer, start: number): RecordRun {
   const payloads: Uint8Array[] = [];
   const offsets: number[] = [];
   let end = start;
@@ -110,9 +110,9 @@
 }
 
 /**
- * Whether a record is what a missing write leaves, or one that was cut off, though others stand behind it: each write since the
- * last sync reaches the disk or not, whatever becomes of the others. The first byte of a payload is never zero, nor is the
- * closing byte, so a zero in the place of the first one that is missing tells such a write from changed data.
+ * Whether a record that later ones follow is a missing or incomplete write: of the writes since the last sync, each may
+ * reach the disk or not, independently of the others. Neither the first byte of a payload nor the closing byte is ever
+ * zero, so a zero in place of the first of them that is missing distinguishes such a write from changed data.
  */
 function isInterrupted(rest: Buffer): boolean {
   const isHeaderWhole = crc32(rest.subarray(0, 4)) === rest.readUInt32LE(4);
@@ -120,12 +120,12 @@
   return rest[lastByte] === 0;
 }
 
-/** Reads all records up to the first that is not whole. */
+/** Reads all records up to the first one that is not whole. */
 export function decodeFrames(bytes: Uint8Array): Frames {
   const data = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
   const run = readRun(data, 0);
   const rest = data.subarray(run.end);
-  const ending = endingOf(rest);
-  if (ending !== 'corrupt' || !isInterrupted(rest)) return { ...run, ending, later: [] };
-  return { ...run, ending: 'gap', later: recordsIn(rest) };
+  const ending = classifyEnd(rest);
+  if (ending !== 'corrupt' || !isInterrupted(rest)) return { ...run, ending, laterPayloads: [] };
+  return { ...run, ending: 'gap', laterPayloads: recordsIn(rest) };
 }
--- a/packages/coordination/src/storage/journal.ts
+++ b/packages/coordination/src/storage/journal.ts
@@ -1,4 +1,4 @@
-/** The entries of the log on disk: segments of checksummed records, appended, cut at the tail, dropped at the head. */
+/** The log entries on disk: segments of checksummed records, appended and truncated at the tail, dropped at the head. */
 import { join } from 'node:path';
 import { fromBinary, toBinary } from '@bufbuild/protobuf';
 import { EntrySchema } from '../gen/agreement/agreement_pb.js';
@@ -10,7 +10,7 @@
 const PREFIX = 'journal-';
 const DIGITS = 16;
 
-/** One file: entries from `first` on, each at its offset. */
+/** One file with the entries from index `first` on, each at its offset. */
 interface Segment {
   readonly first: bigint;
   readonly path: string;
@@ -19,25 +19,25 @@
   length: number;
 }
 
-/** What is in the folder. */
+/** A journal and the entries that it holds. */
 export interface OpenedJournal {
   readonly journal: Journal;
   readonly entries: Entry[];
-  /** Bytes of an interrupted write that were cut off. */
+  /** Bytes of an interrupted write that were removed. */
   readonly repairedBytes: number;
 }
 
-const endOf = (segment: Segment): bigint => segment.first + BigInt(segment.offsets.length);
+const nextIndexOf = (segment: Segment): bigint => segment.first + BigInt(segment.offsets.length);
 
 const segmentName = (first: bigint): string => PREFIX + String(first).padStart(DIGITS, '0');
 
-/** Appends and cuts are made one at a time by the caller; `sync` may run beside them. */
+/** The caller appends and truncates one at a time; `sync` may run concurrently. */
 export class Journal {
-  private running: Promise<void> | undefined;
-  private queued: Promise<void> | undefined;
-  /** Why a half-written record could not be taken back. */
-  private broken: unknown;
-  /** The last entry that is known to be synced; 0: none is. */
+  private runningSync: Promise<void> | undefined;
+  private queuedSync: Promise<void> | undefined;
+  /** Why an incomplete record could not be removed. */
+  private rollbackError: unknown;
+  /** Index of the last entry that is known to be synced; 0: none. */
   private syncedIndex = 0n;
 
   private constructor(
@@ -47,8 +47,8 @@
   ) {}
 
   /**
-   * Reads the folder's segments. Only the newest may end in an interrupted write, which is cut off; older ones
-   * were synced whole before the next was begun.
+   * Reads the folder's segments. Only the newest may end in an interrupted write, which is removed; older ones
+   * were synced as a whole before the next one was started.
    * @throws CorruptFile, or a system error.
    */
   static async open(disk: Disk, folder: string): Promise<OpenedJournal> {
@@ -58,26 +58,26 @@
     let repairedBytes = 0;
     for (const [position, name] of names.entries()) {
       const isNewest = position === names.length - 1;
-      repairedBytes += await journal.load(join(folder, name), isNewest, entries);
+      repairedBytes += await journal.loadSegment(join(folder, name), isNewest, entries);
     }
     return { journal, entries, repairedBytes };
   }
 
-  /** Writes entries behind the last one, not yet synced. Leaves the file as it was when the write fails. */
+  /** Appends entries without a sync. If the write fails, the file is left as it was. */
   async append(entries: readonly Entry[]): Promise<void> {
     const [head] = entries;
     if (head === undefined) return;
-    this.checkWhole();
-    const tail = this.segments.at(-1) ?? (await this.begin(head.index));
+    this.checkRollback();
+    const tail = this.segments.at(-1) ?? (await this.beginSegment(head.index));
     const { syncedIndex } = this;
     const frames = entries.map((entry) => encodeFrame(toBinary(EntrySchema, { ...entry, syncedIndex })));
     const start = tail.length;
     try {
       await tail.file.write(Buffer.concat(frames), start);
     } catch (error) {
-      // A full disk takes a part of the write. Left there, it would end the journal for good at the next start.
+      // A full disk accepts part of the write. If it stayed, entries after it could not be read at the next start.
       await tail.file.truncate(start).catch((cause: unknown) => {
-        this.broken = cause;
+        this.rollbackError = cause;
       });
       throw error;
     }
@@ -94,28 +94,28 @@
       await this.removeSegment(tail);
     }
     const tail = this.segments.at(-1);
-    if (tail === undefined || endOf(tail) <= index) return;
+    if (tail === undefined || nextIndexOf(tail) <= index) return;
     const kept = index > tail.first ? Number(index - tail.first) : 0;
     const length = tail.offsets[kept] ?? tail.length;
     await tail.file.truncate(length);
     tail.offsets.length = kept;
     tail.length = length;
     this.syncedIndex = 0n;
-    // Before anything is written in its place: with the cut lost and a later write kept, old bytes would stand behind it.
+    // Synced before the next write: if that survived a power failure and the truncation did not, old bytes would follow it.
     await this.sync();
   }
 
-  /** Begins a new segment for entries from `index` on, once all before is synced. */
+  /** Syncs the previous entries and starts a new segment for entries from `index` on. */
   async roll(index: bigint): Promise<void> {
     await this.sync();
     if (this.segments.at(-1)?.offsets.length === 0) return;
-    await this.begin(index);
+    await this.beginSegment(index);
   }
 
   /** Removes the segments that hold only entries before `index`. */
   async dropBefore(index: bigint): Promise<void> {
     for (let head = this.segments[0]; head !== undefined; head = this.segments[0]) {
-      if (this.segments.length === 1 || endOf(head) > index) break;
+      if (this.segments.length === 1 || nextIndexOf(head) > index) break;
       await this.removeSegment(head);
     }
   }
@@ -125,56 +125,58 @@
     for (let tail = this.segments.at(-1); tail !== undefined; tail = this.segments.at(-1)) {
       await this.removeSegment(tail);
     }
-    await this.begin(index);
+    await this.beginSegment(index);
   }
 
   /**
-   * Resolves once everything written before the call is synced. Calls that come while a sync runs share the
-   * next one: this is the group commit.
+   * Resolves once everything written before the call is synced. Calls during a running sync share the next one
+   * (group commit).
    */
   sync(): Promise<void> {
-    if (this.running === undefined && this.queued === undefined) return this.startSync();
-    this.queued ??= (this.running ?? Promise.resolve())
+    if (this.runningSync === undefined && this.queuedSync === undefined) return this.startSync();
+    this.queuedSync ??= (this.runningSync ?? Promise.resolve())
       .catch(() => undefined)
       .then(() => {
-        this.queued = undefined;
+        this.queuedSync = undefined;
         return this.startSync();
       });
-    return this.queued;
+    return this.queuedSync;
   }
 
   async close(): Promise<void> {
-    await this.idle();
+    await this.waitForSync();
     await Promise.all(this.segments.map((segment) => segment.file.close()));
   }
 
-  private checkWhole(): void {
-    if (this.broken === undefined) return;
-    throw new Error('an unfinished write could not be taken back', { cause: this.broken });
+  private checkRollback(): void {
+    if (this.rollbackError === undefined) return;
+    throw new Error('an incomplete write could not be removed from the journal', {
+      cause: this.rollbackError,
+    });
   }
 
   private startSync(): Promise<void> {
     const tail = this.segments.at(-1);
     if (tail === undefined) return Promise.resolve();
-    const last = endOf(tail) - 1n;
+    const last = nextIndexOf(tail) - 1n;
     const running = tail.file
       .sync()
       .then(() => {
         this.syncedIndex = last;
       })
       .finally(() => {
-        if (this.running === running) this.running = undefined;
+        if (this.runningSync === running) this.runningSync = undefined;
       });
-    this.running = running;
+    this.runningSync = running;
     return running;
   }
 
-  /** A file must not be closed under a running sync. */
-  private async idle(): Promise<void> {
-    while (this.running !== undefined) await this.running.catch(() => undefined);
+  /** Waits for running syncs: a file must not be closed during one. */
+  private async waitForSync(): Promise<void> {
+    while (this.runningSync !== undefined) await this.runningSync.catch(() => undefined);
   }
 
-  private async begin(first: bigint): Promise<Segment> {
+  private async beginSegment(first: bigint): Promise<Segment> {
     const path = join(this.folder, segmentName(first));
     const file = await this.disk.open(path);
     await file.truncate(0);
@@ -184,16 +186,16 @@
     return segment;
   }
 
-  /** The folder is synced after each one: of several removals a loss of power may leave any, and a gap between segments. */
+  /** Syncs the folder after each removal: a power failure could otherwise undo any of several, leaving a gap between segments. */
   private async removeSegment(segment: Segment): Promise<void> {
-    await this.idle();
+    await this.waitForSync();
     await this.disk.remove(segment.path);
     await this.disk.syncFolder(this.folder);
     this.segments.splice(this.segments.indexOf(segment), 1);
     await segment.file.close();
   }
 
-  private async load(path: string, isNewest: boolean, entries: Entry[]): Promise<number> {
+  private async loadSegment(path: string, isNewest: boolean, entries: Entry[]): Promise<number> {
     const frames = decodeFrames(await this.disk.read(path));
     const isDamaged = frames.ending === 'corrupt' || (frames.ending !== 'whole' && !isNewest);
     if (isDamaged) throw new CorruptFile(path, `checksum mismatch at byte ${frames.end}`);
@@ -207,8 +209,9 @@
       }
       entries.push(entry);
     }
-    // A record behind the gap tells what was synced before it was written: that is not repaired, as it was acknowledged.
-    const synced = frames.later.map((payload) => fromBinary(EntrySchema, payload).syncedIndex);
+    // A record after the gap holds the index that was synced before it was written. Entries up to it were acknowledged, so
+    // their loss is an error.
+    const synced = frames.laterPayloads.map((payload) => fromBinary(EntrySchema, payload).syncedIndex);
     if (synced.some((index) => index >= next())) {
       throw new CorruptFile(path, `entry ${next().toString()} was synced and is gone`);
     }
--- a/packages/coordination/src/storage/logStorage.spec.ts
+++ b/packages/coordination/src/storage/logStorage.spec.ts
@@ -1,4 +1,4 @@
-/** What disks do to files, and what a replica makes of it. */
+/** Faults of disks and power failures, and how a replica's storage recovers from them. */
 import { mkdir, mkdtemp, readFile, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -16,7 +16,7 @@
 const FOLDER = '/replica';
 const JOURNAL = 'journal-0000000000000001';
 
-/** Crashes of one test, each with another seed. */
+/** Simulated crashes per test, each with its own seed. */
 const CRASHES = 200;
 
 const entry = (index: number, text = `command ${index}`): Entry =>
@@ -34,7 +34,7 @@
   return (await LogStorage.open(disk, folder))._unsafeUnwrap();
 }
 
-const refusal = async (disk: Disk, folder = FOLDER): Promise<string> =>
+const openError = async (disk: Disk, folder = FOLDER): Promise<string> =>
   (await LogStorage.open(disk, folder))._unsafeUnwrapErr().message;
 
 const indexes = ({ recovered }: OpenedStorage): number[] =>
@@ -50,9 +50,9 @@
   return disk;
 }
 
-describe('in memory', () => {
-  // Guards against a replica that forgets what it promised, as a write without a sync reached the disk in part.
-  test('synced entries and the vote survive a power cut, whatever becomes of the rest', async () => {
+describe('LogStorage on a disk in memory', () => {
+  // Guards against a replica that loses acknowledged entries or its vote because later, unsynced writes reached the disk in part.
+  test('synced entries and the vote survive a power failure, whatever happens to later writes', async () => {
     for (let part = 0; part <= 20; part += 1) {
       const disk = MemoryDisk.empty();
       const { storage, recovered } = await open(disk);
@@ -76,8 +76,8 @@
     }
   });
 
-  // Guards against a replica that does not start after a loss of power which took an earlier write and left a later one.
-  test('writes that were not synced, each lost, torn or kept, are no error', async () => {
+  // Guards against a replica that does not start after a power failure that lost an earlier write and kept a later one.
+  test('unsynced writes, each lost, torn or kept, are no error', async () => {
     for (let seed = 1; seed <= CRASHES; seed += 1) {
       const disk = MemoryDisk.empty();
       const { storage } = await open(disk);
@@ -91,8 +91,8 @@
     }
   });
 
-  // Guards against an acknowledged entry that is dropped like a write that never reached the disk.
-  test('a record that was synced and is gone, with later ones behind it, is an error', async () => {
+  // Guards against dropping an acknowledged entry like a write that never reached the disk.
+  test('a missing record that was synced, with later ones after it, is an error', async () => {
     const disk = MemoryDisk.empty();
     const { storage } = await open(disk);
     for (const one of entries(1, 5)) {
@@ -105,11 +105,11 @@
     const second = Math.floor(length / 5);
     const file = await disk.open(path);
     await file.write(new Uint8Array(second), second);
-    expect(await refusal(disk)).toContain('entry 2 was synced and is gone');
+    expect(await openError(disk)).toContain('entry 2 was synced and is gone');
   });
 
-  // Guards against a replica that does not start after a loss of power in the middle of an installed snapshot.
-  test('of several segments that are removed, any may be left', async () => {
+  // Guards against a replica that does not start after a power failure during the installation of a snapshot.
+  test('after a crash while segments are removed, the remaining ones can be read', async () => {
     for (let seed = 1; seed <= CRASHES; seed += 1) {
       const disk = MemoryDisk.empty();
       const { storage } = await open(disk);
@@ -127,41 +127,41 @@
     }
   });
 
-  // Guards against a replica with fewer entries than it acknowledged, as changed data is taken for a write that was cut off.
+  // Guards against a replica with fewer entries than it acknowledged because changed data is treated as an interrupted write.
   test('a changed byte anywhere in synced data is an error, never fewer entries', async () => {
     const { length } = await (await written()).read(join(FOLDER, JOURNAL));
     for (let offset = 0; offset < length; offset += 1) {
       const disk = await written();
-      disk.flip(join(FOLDER, JOURNAL), offset);
-      expect(await refusal(disk)).toContain('has changed since it was synced');
+      disk.corruptByte(join(FOLDER, JOURNAL), offset);
+      expect(await openError(disk)).toContain('has changed since it was synced');
     }
   });
 
-  // Guards against a second vote in one term, or an empty state, as a file that can't be read counts as one never written.
+  // Guards against a second vote in one term, or an empty state, because an unreadable file is treated as one never written.
   test('a changed vote, a missing vote and a changed snapshot are errors', async () => {
     const flipped = await written();
-    flipped.flip(join(FOLDER, 'replica'), 20);
-    expect(await refusal(flipped)).toContain('checksum mismatch');
+    flipped.corruptByte(join(FOLDER, 'replica'), 20);
+    expect(await openError(flipped)).toContain('checksum mismatch');
     const missing = await written();
     await missing.remove(join(FOLDER, 'replica'));
-    expect(await refusal(missing)).toContain('holds the vote');
+    expect(await openError(missing)).toContain('holds the vote');
     const snapshot = await written();
     const { storage } = await open(snapshot);
     const data = Buffer.from('state');
     await storage.saveSnapshot({ clusterId: 'c', lastIndex: 3n, lastTerm: 1n, data }, 4n, 6n);
     await storage.close();
-    snapshot.flip(join(FOLDER, 'snapshot-0000000000000003'), 30);
-    expect(await refusal(snapshot)).toContain('checksum mismatch');
+    snapshot.corruptByte(join(FOLDER, 'snapshot-0000000000000003'), 30);
+    expect(await openError(snapshot)).toContain('checksum mismatch');
   });
 
-  // Guards against a journal that can't be read from the half record on that a full disk left in it.
-  test('a full disk refuses, keeps what was there, and works again with room', async () => {
+  // Guards against a journal that can't be read past an incomplete record that a full disk left in it.
+  test('writes to a full disk fail, keep the existing entries, and succeed once there is space', async () => {
     const disk = MemoryDisk.empty();
     const { storage } = await open(disk);
     await storage.write(entries(1, 2));
     disk.writeError = 'ENOSPC';
-    const refused = await storage.write(entries(3, 6));
-    expect(refused._unsafeUnwrapErr().message).toContain('the disk is full');
+    const writeError = await storage.write(entries(3, 6));
+    expect(writeError._unsafeUnwrapErr().message).toContain('the disk is full');
     disk.writeError = undefined;
     expect((await storage.write(entries(3, 3))).isOk()).toBe(true);
     expect((await storage.sync()).isOk()).toBe(true);
@@ -169,7 +169,7 @@
     expect(indexes(await open(disk))).toEqual([1, 2, 3]);
   });
 
-  // Guards against an acknowledged entry that is lost, as the sync after a failed one has nothing left to complain of.
+  // Guards against losing an acknowledged entry: a sync after a failed one reports success for pages that were dropped.
   test('a failed sync is final', async () => {
     const disk = MemoryDisk.empty();
     const { storage } = await open(disk);
@@ -181,14 +181,14 @@
     expect((await storage.write(entries(2, 2))).isErr()).toBe(true);
   });
 
-  // Guards against a replica on a read-only file system that starts and fails at its first command.
-  test('a read-only folder is a clear error', async () => {
+  // Guards against a replica that starts on a read-only file system and fails at its first command.
+  test('a read-only folder fails with a clear error', async () => {
     const disk = MemoryDisk.empty();
     disk.writeError = 'EROFS';
-    expect(await refusal(disk)).toContain('the file system is read-only');
+    expect(await openError(disk)).toContain('the file system is read-only');
   });
 
-  test('snapshots bound the files, and a cut tail is replaced', async () => {
+  test('snapshots bound the number of files, and a truncated tail is replaced', async () => {
     const disk = MemoryDisk.empty();
     const { storage } = await open(disk);
     const data = Buffer.from('state');
@@ -213,8 +213,8 @@
     expect(Buffer.from(after.recovered.entries[2]?.command ?? []).toString()).toBe('another');
   });
 
-  // Guards against entries that are skipped where a file of the folder was removed, as each file is whole in itself.
-  test('segments that are missing in between are an error', async () => {
+  // Guards against skipping entries when a segment file was removed: the remaining files are each valid on their own.
+  test('missing segments are an error', async () => {
     const disk = await written();
     const { storage } = await open(disk);
     const data = Buffer.from('state');
@@ -223,11 +223,11 @@
     await storage.sync();
     await storage.close();
     await disk.remove(join(FOLDER, JOURNAL));
-    expect(await refusal(disk)).toContain('are missing');
+    expect(await openError(disk)).toContain('are missing');
   });
 });
 
-describe('on the machine', () => {
+describe('LogStorage on files', () => {
   let parent: string;
 
   beforeEach(async () => {
@@ -238,7 +238,7 @@
     await rm(parent, { recursive: true, force: true });
   });
 
-  test('state, snapshot and entries come back', async () => {
+  test('state, snapshot and entries are recovered', async () => {
     const folder = join(parent, 'replica');
     const { storage, recovered } = await open(fileDisk, folder);
     await storage.write(entries(1, 5));
@@ -254,18 +254,18 @@
     await again.storage.close();
   });
 
-  // Guards against a replica that starts empty where the volume with its data is not mounted.
-  test('a missing folder above is a clear error', async () => {
-    expect(await refusal(fileDisk, join(parent, 'not mounted', 'replica'))).toContain(
+  // Guards against a replica that starts empty because the volume with its data is not mounted.
+  test('a missing parent folder fails with a clear error', async () => {
+    expect(await openError(fileDisk, join(parent, 'not mounted', 'replica'))).toContain(
       'the folder is missing',
     );
   });
 
-  // Guards against two processes that write one journal, or a lock of a dead one that keeps its successor out.
-  test('a second process on one folder is refused; a lock left by a dead one is taken over', async () => {
+  // Guards against two processes that write to one journal, and against the lock of a dead process that locks out the next.
+  test('a second process can not open a locked folder, but takes over the lock of a dead one', async () => {
     const folder = join(parent, 'replica');
     const { storage } = await open(fileDisk, folder);
-    expect(await refusal(fileDisk, folder)).toContain(`in use by process ${process.pid}`);
+    expect(await openError(fileDisk, folder)).toContain(`in use by process ${process.pid}`);
     const lock = await readFile(join(folder, 'lock'), 'utf8');
     await storage.close();
     const holder = JSON.parse(lock) as { pid: number; started: string };
--- a/packages/coordination/src/storage/logStorage.ts
+++ b/packages/coordination/src/storage/logStorage.ts
@@ -1,4 +1,4 @@
-/** Everything that a replica keeps in its folder: identity and vote, snapshot, journal. */
+/** The durable state of a replica: identity and vote, snapshot, journal. */
 import { join } from 'node:path';
 import { fault, newId } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
@@ -6,37 +6,37 @@
 import type { Result } from 'neverthrow';
 import * as z from 'zod';
 import type { Entry } from '../gen/agreement/agreement_pb.js';
-import type { Disk, Release } from './disk.js';
+import type { Disk, ReleaseLock } from './disk.js';
 import { Journal } from './journal.js';
-import { DRAFT_ENDING, readRecords, replaceFile } from './recordFile.js';
+import { TEMPORARY_SUFFIX, readRecords, replaceFile } from './recordFile.js';
 import { readSnapshot, writeSnapshot } from './snapshotFile.js';
 import type { Snapshot } from './snapshotFile.js';
 import { CorruptFile, attempt } from './storageFault.js';
 
 const STATE_FILE = 'replica';
 
-/** What a replica must never forget. */
+/** Identity, term and vote of a replica, which must never be lost. */
 export const persistentState = z.object({
-  /** Drawn when the folder is first used. */
+  /** Generated when the folder is first used. */
   replicaId: z.string().min(1),
-  /** Cluster that the replica belongs to; empty before it belongs to one. */
+  /** Cluster that the replica has joined; empty: none yet. */
   clusterId: z.string(),
   /** Highest term seen. */
   term: z.string().transform((text) => BigInt(text)),
-  /** Replica that got the vote in that term; empty: none. */
+  /** Replica that received the vote in that term; empty: none. */
   votedFor: z.string(),
 });
 
 /** Parsed form of `persistentState`. */
 export type PersistentState = z.output<typeof persistentState>;
 
-/** What was found at the start. */
+/** State found in the folder at the start. */
 export interface Recovered {
   readonly state: PersistentState;
   readonly snapshot: Snapshot | undefined;
-  /** Entries behind the snapshot, without a gap. */
+  /** Entries after the snapshot, without a gap. */
   readonly entries: Entry[];
-  /** Bytes of an interrupted write that were cut off. */
+  /** Bytes of an interrupted write that were removed. */
   readonly repairedBytes: number;
 }
 
@@ -46,19 +46,19 @@
   readonly recovered: Recovered;
 }
 
-/** Storage of one replica. Changes are made one at a time by the caller; `sync` may run beside them. */
+/** Storage of one replica. The caller makes changes one at a time; `sync` may run concurrently. */
 export class LogStorage {
-  /** Set for good by an error that leaves the disk's content unknown. */
+  /** Final: the error that left the disk's content unknown. */
   private failure: Fault | undefined;
 
   private constructor(
     private readonly disk: Disk,
     private readonly folder: string,
     private readonly journal: Journal,
-    private readonly release: Release,
+    private readonly release: ReleaseLock,
   ) {}
 
-  /** Locks and reads a folder, creating it when missing. Errors: storage-failed, naming file and reason. */
+  /** Locks and reads a folder, and creates it if it is missing. Errors: storage-failed, with file and reason. */
   static async open(disk: Disk, folder: string): Promise<Result<OpenedStorage, Fault>> {
     return attempt(`open ${folder}`, async () => {
       await disk.ensureFolder(folder);
@@ -72,81 +72,82 @@
     });
   }
 
-  /** Replaces identity, term and vote, synced. */
+  /** Replaces identity, term and vote durably. */
   saveState(state: PersistentState): Promise<Result<void, Fault>> {
-    return this.guard('save the vote', () => writeState(this.disk, this.folder, state));
+    return this.run('save the vote', () => writeState(this.disk, this.folder, state));
   }
 
-  /** Writes entries behind the last one, not yet synced. After an error the journal is as it was before. */
+  /** Appends entries without a sync. After an error the journal is unchanged. */
   write(entries: readonly Entry[]): Promise<Result<void, Fault>> {
-    return this.guard('write the journal', () => this.journal.append(entries));
+    return this.run('write the journal', () => this.journal.append(entries));
   }
 
-  /** Drops entries from `index` on, not yet synced. An error is final. */
+  /** Drops the entries from `index` on. An error is final. */
   async truncate(index: bigint): Promise<Result<void, Fault>> {
-    return this.orFail(await this.guard('cut the journal', () => this.journal.truncate(index)));
+    return this.failForGood(await this.run('truncate the journal', () => this.journal.truncate(index)));
   }
 
   /**
-   * Syncs all that was written before the call. An error is final: the system may have dropped the pages that
-   * it could not write, and a second sync would then report success for data that is gone.
+   * Syncs everything written before the call. An error is final: the system may have dropped the pages that it could
+   * not write, and a second sync would then report success for lost data.
    */
   async sync(): Promise<Result<void, Fault>> {
-    return this.orFail(await this.guard('sync the journal', () => this.journal.sync()));
+    return this.failForGood(await this.run('sync the journal', () => this.journal.sync()));
   }
 
-  /** Keeps a snapshot and drops the journal's segments that hold only entries before `keepFrom`. */
+  /** Stores a snapshot and drops the journal's segments that hold only entries before `keepFrom`. */
   saveSnapshot(snapshot: Snapshot, keepFrom: bigint, nextIndex: bigint): Promise<Result<void, Fault>> {
-    return this.guard('write a snapshot', async () => {
+    return this.run('write a snapshot', async () => {
       await writeSnapshot(this.disk, this.folder, snapshot);
       await this.journal.roll(nextIndex);
       await this.journal.dropBefore(keepFrom);
     });
   }
 
-  /** Keeps a snapshot in place of everything in the journal. An error in clearing the journal is final. */
+  /** Replaces the whole journal by a snapshot. An error while clearing the journal is final. */
   async installSnapshot(snapshot: Snapshot): Promise<Result<void, Fault>> {
-    const written = await this.guard('install a snapshot', () =>
+    const written = await this.run('install a snapshot', () =>
       writeSnapshot(this.disk, this.folder, snapshot),
     );
     if (written.isErr()) return written;
-    return this.orFail(
-      await this.guard('clear the journal', () => this.journal.reset(snapshot.lastIndex + 1n)),
+    return this.failForGood(
+      await this.run('clear the journal', () => this.journal.reset(snapshot.lastIndex + 1n)),
     );
   }
 
-  /** Closes the files and gives up the lock; nothing is written afterwards. */
+  /** Closes the files and releases the lock; later writes fail. */
   async close(): Promise<void> {
     this.failure ??= fault('storage-failed', `${this.folder} is closed`);
     await this.journal.close().catch(() => undefined);
     await this.release().catch(() => undefined);
   }
 
-  /** After an error that leaves the disk's content unknown, nothing more is written or promised. */
-  private orFail(result: Result<void, Fault>): Result<void, Fault> {
+  /** Makes an error final: the disk's content is unknown, so nothing more is written or acknowledged. */
+  private failForGood(result: Result<void, Fault>): Result<void, Fault> {
     if (result.isErr()) this.failure ??= result.error;
     return result;
   }
 
-  private guard(doing: string, action: () => Promise<void>): Promise<Result<void, Fault>> {
+  private run(operation: string, action: () => Promise<void>): Promise<Result<void, Fault>> {
     const failed = this.failure;
-    const running = failed === undefined ? attempt(`${doing} in ${this.folder}`, action) : errAsync(failed);
-    return Promise.resolve(running);
+    const result =
+      failed === undefined ? attempt(`${operation} in ${this.folder}`, action) : errAsync(failed);
+    return Promise.resolve(result);
   }
 
-  private static async load(disk: Disk, folder: string, release: Release): Promise<OpenedStorage> {
-    await removeDrafts(disk, folder);
+  private static async load(disk: Disk, folder: string, release: ReleaseLock): Promise<OpenedStorage> {
+    await removeTemporaryFiles(disk, folder);
     const state = await readState(disk, folder);
     const snapshot = await readSnapshot(disk, folder);
     const { journal, entries, repairedBytes } = await Journal.open(disk, folder);
-    const behind = await entriesBehind(journal, entries, snapshot, folder);
+    const remaining = await entriesAfterSnapshot(journal, entries, snapshot, folder);
     const storage = new LogStorage(disk, folder, journal, release);
-    return { storage, recovered: { state, snapshot, entries: behind, repairedBytes } };
+    return { storage, recovered: { state, snapshot, entries: remaining, repairedBytes } };
   }
 }
 
-/** Entries after the snapshot; the journal is cleared when it ends before the snapshot does. */
-async function entriesBehind(
+/** Entries after the snapshot; clears a journal that ends before the snapshot does. */
+async function entriesAfterSnapshot(
   journal: Journal,
   entries: readonly Entry[],
   snapshot: Snapshot | undefined,
@@ -162,9 +163,9 @@
   return entries.filter((entry) => entry.index >= next);
 }
 
-async function removeDrafts(disk: Disk, folder: string): Promise<void> {
-  const drafts = (await disk.list(folder)).filter((name) => name.endsWith(DRAFT_ENDING));
-  for (const name of drafts) await disk.remove(join(folder, name));
+async function removeTemporaryFiles(disk: Disk, folder: string): Promise<void> {
+  const temporary = (await disk.list(folder)).filter((name) => name.endsWith(TEMPORARY_SUFFIX));
+  for (const name of temporary) await disk.remove(join(folder, name));
 }
 
 async function writeState(disk: Disk, folder: string, state: PersistentState): Promise<void> {
@@ -172,7 +173,7 @@
   await replaceFile(disk, join(folder, STATE_FILE), [Buffer.from(text)]);
 }
 
-/** Reads identity and vote; draws an identity for an empty folder. */
+/** Reads identity and vote; generates an identity for an empty folder. */
 async function readState(disk: Disk, folder: string): Promise<PersistentState> {
   const names = await disk.list(folder);
   if (names.includes(STATE_FILE)) return parseState(disk, join(folder, STATE_FILE));
@@ -188,5 +189,5 @@
   const [record] = await readRecords(disk, path, 1);
   const parsed = persistentState.safeParse(JSON.parse(Buffer.from(record ?? []).toString()));
   if (parsed.success) return parsed.data;
-  throw new CorruptFile(path, 'not the fields of a replica');
+  throw new CorruptFile(path, 'invalid identity, term or vote');
 }
--- a/packages/coordination/src/storage/recordFile.ts
+++ b/packages/coordination/src/storage/recordFile.ts
@@ -1,28 +1,28 @@
-/** Small files that are replaced as a whole: the old or the new content survives a crash, never a mixture. */
+/** Small files that are replaced atomically: after a crash they hold either the old or the new content. */
 import { dirname } from 'node:path';
 import type { Disk } from './disk.js';
 import { decodeFrames, encodeFrame } from './frame.js';
 import { CorruptFile } from './storageFault.js';
 
-/** Ending of files that are not in place yet; leftovers are removed at start. */
-export const DRAFT_ENDING = '.tmp';
+/** Suffix of files that are still being written; leftovers are removed at the start. */
+export const TEMPORARY_SUFFIX = '.tmp';
 
-/** Replaces a file's content: written beside it, synced, renamed over it, folder synced. */
+/** Replaces a file's content: writes and syncs a temporary file, renames it, and syncs the folder. */
 export async function replaceFile(disk: Disk, path: string, parts: readonly Uint8Array[]): Promise<void> {
-  const draft = path + DRAFT_ENDING;
+  const temporaryPath = path + TEMPORARY_SUFFIX;
   try {
-    await writeDraft(disk, draft, Buffer.concat(parts.map(encodeFrame)));
+    await writeTemporary(disk, temporaryPath, Buffer.concat(parts.map(encodeFrame)));
   } catch (error) {
-    // On a full disk the part that was written must not go on taking space.
-    await disk.remove(draft).catch(() => undefined);
+    // On a full disk an incomplete file must not keep taking up space.
+    await disk.remove(temporaryPath).catch(() => undefined);
     throw error;
   }
-  await disk.rename(draft, path);
+  await disk.rename(temporaryPath, path);
   await disk.syncFolder(dirname(path));
 }
 
-async function writeDraft(disk: Disk, draft: string, data: Uint8Array): Promise<void> {
-  const file = await disk.open(draft);
+async function writeTemporary(disk: Disk, temporaryPath: string, data: Uint8Array): Promise<void> {
+  const file = await disk.open(temporaryPath);
   try {
     await file.truncate(0);
     await file.write(data, 0);
@@ -32,7 +32,7 @@
   }
 }
 
-/** Reads such a file. @throws CorruptFile when it does not hold `count` whole records. */
+/** Reads a file written by `replaceFile`. @throws CorruptFile when it does not hold exactly `count` whole records. */
 export async function readRecords(disk: Disk, path: string, count: number): Promise<Uint8Array[]> {
   const frames = decodeFrames(await disk.read(path));
   if (frames.ending !== 'whole' || frames.payloads.length !== count) {
--- a/packages/coordination/src/storage/snapshotFile.ts
+++ b/packages/coordination/src/storage/snapshotFile.ts
@@ -1,15 +1,15 @@
-/** Snapshots on disk: the state up to one entry, in a file named after it. */
+/** Snapshots on disk: the state up to one entry, in a file named by the entry's index. */
 import { join } from 'node:path';
 import { fromBinary, toBinary } from '@bufbuild/protobuf';
 import { InstallRequestSchema } from '../gen/agreement/agreement_pb.js';
 import type { InstallRequest } from '../gen/agreement/agreement_pb.js';
 import type { Disk } from './disk.js';
-import { DRAFT_ENDING, readRecords, replaceFile } from './recordFile.js';
+import { TEMPORARY_SUFFIX, readRecords, replaceFile } from './recordFile.js';
 
 const PREFIX = 'snapshot-';
 const DIGITS = 16;
 
-/** State up to `lastIndex`, with the configuration as of then. Kept in the form in which it is sent. */
+/** State up to `lastIndex`, with the configuration at that entry. Stored in the form in which it is sent. */
 export type Snapshot = Pick<
   InstallRequest,
   'clusterId' | 'lastIndex' | 'lastTerm' | 'configuration' | 'data'
@@ -17,7 +17,7 @@
 
 const nameOf = (index: bigint): string => PREFIX + String(index).padStart(DIGITS, '0');
 
-const isSnapshot = (name: string): boolean => name.startsWith(PREFIX) && !name.endsWith(DRAFT_ENDING);
+const isSnapshot = (name: string): boolean => name.startsWith(PREFIX) && !name.endsWith(TEMPORARY_SUFFIX);
 
 /** The newest snapshot in a folder. @throws CorruptFile, or a system error. */
 export async function readSnapshot(disk: Disk, folder: string): Promise<Snapshot | undefined> {
@@ -28,7 +28,7 @@
   return { ...fromBinary(InstallRequestSchema, header), data };
 }
 
-/** Writes a snapshot, synced, then removes the older ones. */
+/** Writes a snapshot durably, then removes the older ones. */
 export async function writeSnapshot(disk: Disk, folder: string, snapshot: Snapshot): Promise<void> {
   const { clusterId, lastIndex, lastTerm, configuration, data } = snapshot;
   const header = { ...emptyHeader, clusterId, lastIndex, lastTerm, configuration };
