--- a/packages/coordination/src/agreement/applier.spec.ts
+++ b/packages/coordination/src/agreement/applier.spec.ts
@@ -96,20 +96,20 @@
   expect(await cluster.until(() => cluster.leader() !== undefined, 10_000)).toBe(true);
   const node = cluster.find('a');
   for (let count = 0; count < ENTRIES; count += 1) cluster.propose(node, count.toString());
-  expect(await cluster.until(() => node.recorder.commands.length === ENTRIES, 10_000)).toBe(true);
+  expect(await cluster.until(() => node.createRecorder.commands.length === ENTRIES, 10_000)).toBe(true);
   cluster.crash(node);
   await cluster.start(node);
-  let applied = node.recorder.commands.length;
+  let applied = node.createRecorder.commands.length;
   let mostInTurn = 0;
   let isOver = false;
   const sample = (): void => {
-    const now = node.recorder.commands.length;
+    const now = node.createRecorder.commands.length;
     mostInTurn = Math.max(mostInTurn, now - applied);
     applied = now;
     if (!isOver) setImmediate(sample);
   };
   sample();
-  expect(await cluster.until(() => node.recorder.commands.length === ENTRIES, 10_000)).toBe(true);
+  expect(await cluster.until(() => node.createRecorder.commands.length === ENTRIES, 10_000)).toBe(true);
   isOver = true;
   cluster.crash(node);
   expect(cluster.violations).toEqual([]);
@@ -129,10 +129,10 @@
   const leader = cluster.leader() ?? cluster.find('a');
   // The state of the test replicas holds all commands, so its snapshots would grow; a production snapshot holds one
   // configuration.
-  leader.recorder.snapshot = () => new Uint8Array();
+  leader.createRecorder.snapshot = () => new Uint8Array();
   for (let count = 0; count < 60; count += 1) {
     cluster.propose(leader, `${count}`.padEnd(MB, '.'));
-    expect(await cluster.until(() => leader.recorder.commands.length === count + 1, 10_000)).toBe(true);
+    expect(await cluster.until(() => leader.createRecorder.commands.length === count + 1, 10_000)).toBe(true);
   }
   const names = await leader.disk.list('/replica');
   const files = await Promise.all(names.map((name) => leader.disk.read(`/replica/${name}`)));
--- a/packages/coordination/src/agreement/failures.spec.ts
+++ b/packages/coordination/src/agreement/failures.spec.ts
@@ -74,7 +74,7 @@
   cluster.network.heal();
   await cluster.clock.advance(5_000);
   expect(leaderOf(cluster).replica?.status().term).toBe(term);
-  expect(old.recorder.commands).toEqual(['before', 'during']);
+  expect(old.createRecorder.commands).toEqual(['before', 'during']);
   expect(old.replica?.status().vouched).toBe(true);
   cluster.checkEnd();
 });
@@ -107,7 +107,7 @@
   await cluster.start(follower);
   const vouchedWith: number[] = [];
   follower.replica?.onStatus(({ vouched }) => {
-    if (vouched) vouchedWith.push(follower.recorder.commands.length);
+    if (vouched) vouchedWith.push(follower.createRecorder.commands.length);
   });
   await cluster.until(() => vouchedWith.length > 0, 5_000);
   expect(vouchedWith[0]).toBe(30);
@@ -132,7 +132,7 @@
   await cluster.until(() => cluster.leader() !== undefined, 10_000);
   await cluster.until(() => isVoter(cluster, wiped), 10_000);
   await cluster.clock.advance(1_000);
-  expect(wiped.recorder.commands).toEqual(['kept']);
+  expect(wiped.createRecorder.commands).toEqual(['kept']);
   cluster.checkEnd();
 });
 
@@ -150,7 +150,7 @@
   cluster.wipe(leaderOf(cluster));
   expect(await cluster.until(() => cluster.leader() !== undefined, 20_000)).toBe(true);
   expect(await accepted(cluster, leaderOf(cluster), 'after')).toBe(true);
-  expect(leaderOf(cluster).recorder.commands).toHaveLength(41);
+  expect(leaderOf(cluster).createRecorder.commands).toHaveLength(41);
   await cluster.startAll();
   await cluster.until(() => cluster.nodes.every((node) => isVoter(cluster, node)), 20_000);
   await cluster.clock.advance(1_000);
@@ -235,7 +235,7 @@
   expect(attempt.outcome).toBe('may-have-run');
   cluster.network.heal();
   await cluster.clock.advance(5_000);
-  expect(leader.recorder.commands).toEqual(['once']);
+  expect(leader.createRecorder.commands).toEqual(['once']);
   cluster.checkEnd();
 });
 
@@ -254,12 +254,12 @@
   await cluster.clock.advance(3_000);
   await cluster.start(behind);
   for (let count = 300; count < 320; count += 1) cluster.propose(leaderOf(cluster), `c${count}`);
-  await cluster.until(() => behind.recorder.commands.length === 320, 10_000);
+  await cluster.until(() => behind.createRecorder.commands.length === 320, 10_000);
   cluster.crash(behind);
   await cluster.start(behind);
   await cluster.clock.advance(3_000);
   cluster.checkEnd();
-  expect(behind.recorder.commands).toHaveLength(320);
+  expect(behind.createRecorder.commands).toHaveLength(320);
 });
 
 // Guards against disjoint quorums of old and new replicas. They are possible when several changes are made at once, or a
@@ -304,7 +304,7 @@
   cluster.crash(full);
   await cluster.start(full);
   await cluster.clock.advance(3_000);
-  expect(full.recorder.commands).toEqual(['elsewhere']);
+  expect(full.createRecorder.commands).toEqual(['elsewhere']);
   cluster.checkEnd();
 });
 
--- a/packages/coordination/src/agreement/longMessages.spec.ts
+++ b/packages/coordination/src/agreement/longMessages.spec.ts
@@ -26,7 +26,7 @@
   const command = (count: number, bytes = COMMAND_BYTES): string => `${count}`.padEnd(bytes, '.');
 
   const haveAll = (count: number): boolean =>
-    cluster.nodes.every(({ recorder }) => recorder.commands.length === count);
+    cluster.nodes.every(({ createRecorder: recorder }) => recorder.commands.length === count);
 
   // Guards against heartbeats that overtake a long message, so that its entries look missing and are sent again.
   it('are sent once', async () => {
--- a/packages/coordination/src/agreement/safety.spec.ts
+++ b/packages/coordination/src/agreement/safety.spec.ts
@@ -217,7 +217,7 @@
     void client.append(create(AppendRequestSchema, message));
     await cluster.clock.advance(4_000);
     expect(attempt.outcome).not.toBe('done');
-    expect(node.recorder.commands).toEqual(['other']);
+    expect(node.createRecorder.commands).toEqual(['other']);
   });
 
   // Guards against disjoint quorums made by one leader: two single-step changes at once are a change by two voters.
--- a/packages/coordination/src/bench/ballotRegister.ts
+++ b/packages/coordination/src/bench/ballotRegister.ts
@@ -1,7 +1,7 @@
 /**
- * A register for each key, agreed on by ballots (as CASPaxos has it), only to be measured against the log: no
- * leader; whoever changes a key asks a quorum for a promise, then to accept. A proposer that has just won keeps
- * the promise for its next change of the key and saves the first round.
+ * One replicated register per key, decided by ballots as in CASPaxos, only for comparison with the log. There is no
+ * leader: a proposer asks a quorum to promise its ballot, then to accept its value. A proposer that has just changed a
+ * key can reuse the promise for its next change of that key and skip the first round.
  */
 import { create } from '@bufbuild/protobuf';
 import type { ConnectRouter } from '@connectrpc/connect';
@@ -17,30 +17,30 @@
 import { Mutex } from '../agreement/signal.js';
 import type { LoopbackConnections } from '../loopback/index.js';
 
-/** What an acceptor is asked. */
-interface Question {
+/** Prepare or accept request to an acceptor. */
+interface AcceptorRequest {
   readonly kind: 'prepare' | 'accept';
   readonly key: string;
   readonly ballot: number;
   readonly value: string;
 }
 
-/** What it answers. */
-interface Answer {
+/** Response of an acceptor. */
+interface AcceptorResponse {
   readonly granted: boolean;
   readonly ballot: number;
   readonly value: string;
 }
 
-interface Cell {
+interface Register {
   promised: number;
   accepted: number;
   value: string;
 }
 
-/** One acceptor, synced before it answers. */
+/** One acceptor, which syncs each request to disk before it responds. */
 export class Acceptor {
-  private readonly cells = new Map<string, Cell>();
+  private readonly registers = new Map<string, Register>();
   private readonly mutex = new Mutex();
   private index = 0n;
 
@@ -54,21 +54,21 @@
   routes(router: ConnectRouter): void {
     router.service(Agreement, {
       propose: async ({ command }) => {
-        const answer = await this.answer(JSON.parse(Buffer.from(command).toString()) as Question);
-        return create(ProposeResponseSchema, { result: Buffer.from(JSON.stringify(answer)) });
+        const response = await this.handle(JSON.parse(Buffer.from(command).toString()) as AcceptorRequest);
+        return create(ProposeResponseSchema, { result: Buffer.from(JSON.stringify(response)) });
       },
     });
   }
 
-  async answer(question: Question): Promise<Answer> {
-    const cell = this.cells.get(question.key) ?? { promised: 0, accepted: 0, value: '' };
-    this.cells.set(question.key, cell);
-    const { ballot, kind } = question;
-    if (ballot < cell.promised) return { granted: false, ballot: cell.promised, value: '' };
-    const before = { granted: true, ballot: cell.accepted, value: cell.value };
-    cell.promised = ballot;
-    if (kind === 'accept') Object.assign(cell, { accepted: ballot, value: question.value });
-    await this.keep(question);
+  async handle(request: AcceptorRequest): Promise<AcceptorResponse> {
+    const register = this.registers.get(request.key) ?? { promised: 0, accepted: 0, value: '' };
+    this.registers.set(request.key, register);
+    const { ballot, kind } = request;
+    if (ballot < register.promised) return { granted: false, ballot: register.promised, value: '' };
+    const before = { granted: true, ballot: register.accepted, value: register.value };
+    register.promised = ballot;
+    if (kind === 'accept') Object.assign(register, { accepted: ballot, value: request.value });
+    await this.persist(request);
     return before;
   }
 
@@ -76,10 +76,10 @@
     return this.storage.close();
   }
 
-  private async keep(question: Question): Promise<void> {
+  private async persist(request: AcceptorRequest): Promise<void> {
     await this.mutex.run(async () => {
       this.index += 1n;
-      const command = Buffer.from(JSON.stringify(question));
+      const command = Buffer.from(JSON.stringify(request));
       const entry = create(EntrySchema, { index: this.index, term: 1n, kind: EntryKind.COMMAND, command });
       (await this.storage.write([entry]))._unsafeUnwrap();
     });
@@ -87,46 +87,46 @@
   }
 }
 
-/** Changes keys over all acceptors. */
+/** Changes keys with the consent of a quorum of acceptors. */
 export class Proposer {
   private readonly ballots = new Map<string, number>();
 
   constructor(
-    private readonly own: Acceptor,
+    private readonly localAcceptor: Acceptor,
     private readonly others: readonly string[],
     private readonly connections: LoopbackConnections,
-    private readonly keepsPromises: boolean,
+    private readonly reusesPromises: boolean,
   ) {}
 
-  /** Sets a key. @throws Error when another proposer was faster. */
+  /** Sets a key. @throws Error when an acceptor has promised a higher ballot. */
   async change(key: string, value: string): Promise<void> {
     const known = this.ballots.get(key);
     const ballot = (known ?? 0) + 1;
     this.ballots.set(key, ballot);
-    const hasPromise = this.keepsPromises && known !== undefined;
-    if (!hasPromise) await this.ask({ kind: 'prepare', key, ballot, value: '' });
-    await this.ask({ kind: 'accept', key, ballot, value });
+    const hasPromise = this.reusesPromises && known !== undefined;
+    if (!hasPromise) await this.broadcast({ kind: 'prepare', key, ballot, value: '' });
+    await this.broadcast({ kind: 'accept', key, ballot, value });
   }
 
-  /** Resolves at a quorum of consents. */
-  private ask(question: Question): Promise<void> {
+  /** Sends a request to all acceptors. Resolves once a quorum has granted it. */
+  private broadcast(request: AcceptorRequest): Promise<void> {
     const needed = Math.floor((this.others.length + 1) / 2) + 1;
     return new Promise((resolve, reject) => {
       let granted = 0;
-      const count = (answer: Answer): void => {
-        if (!answer.granted) reject(new Error('a higher ballot was promised'));
+      const count = (response: AcceptorResponse): void => {
+        if (!response.granted) reject(new Error('an acceptor has promised a higher ballot'));
         granted += 1;
         if (granted === needed) resolve();
       };
-      void this.own.answer(question).then(count);
-      for (const address of this.others) void this.askOne(address, question).then(count, reject);
+      void this.localAcceptor.handle(request).then(count);
+      for (const address of this.others) void this.send(address, request).then(count, reject);
     });
   }
 
-  private async askOne(address: string, question: Question): Promise<Answer> {
+  private async send(address: string, request: AcceptorRequest): Promise<AcceptorResponse> {
     const client = createClient(Agreement, this.connections.connect(address));
-    const command = Buffer.from(JSON.stringify(question));
+    const command = Buffer.from(JSON.stringify(request));
     const { result } = await client.propose(create(ProposeRequestSchema, { command }));
-    return JSON.parse(Buffer.from(result).toString()) as Answer;
+    return JSON.parse(Buffer.from(result).toString()) as AcceptorResponse;
   }
 }
--- a/packages/coordination/src/bench/commit.ts
+++ b/packages/coordination/src/bench/commit.ts
@@ -1,6 +1,6 @@
 /**
- * Commit latency and rate of the replicated log, with and without group commit, and of registers with ballots.
- * All replicas run in this process, over real loopback sockets and files; syncs take at least the given time.
+ * Measures commit latency and throughput of the replicated log, with and without group commit, and of ballot registers.
+ * All replicas run in this process, with real loopback sockets and files; syncs take at least the given time.
  *
  * Run: `npm run build && node packages/coordination/dist/bench/commit.js [folder]`.
  */
@@ -14,7 +14,7 @@
 import { delayedDisk, fileDisk } from '../storage/index.js';
 import { Acceptor, Proposer } from './ballotRegister.js';
 import { measure } from './load.js';
-import type { Figures } from './load.js';
+import type { Measurement } from './load.js';
 
 const SYNC_DELAYS_MS = [0.1, 1, 5];
 const SIZES = [3, 5];
@@ -37,7 +37,7 @@
 
 const portOf = (address: string): number => Number(address.split(':')[1]);
 
-async function measureLog({ replicas, syncMs, folder }: Case, groupCommit: boolean): Promise<Figures> {
+async function measureLog({ replicas, syncMs, folder }: Case, groupCommit: boolean): Promise<Measurement> {
   const addresses = await freeAddresses(replicas);
   const running = await Promise.all(
     addresses.map(async ({ name, address }) => {
@@ -86,7 +86,10 @@
   throw new Error('no leader');
 }
 
-async function measureRegister({ replicas, syncMs, folder }: Case, keepsPromises: boolean): Promise<Figures> {
+async function measureRegister(
+  { replicas, syncMs, folder }: Case,
+  reusesPromises: boolean,
+): Promise<Measurement> {
   const connections = new LoopbackConnections();
   const acceptors = await Promise.all(
     Array.from({ length: replicas }, (_, position) => Acceptor.open(join(folder, `r${position}`), syncMs)),
@@ -98,10 +101,10 @@
       }),
     ),
   );
-  const [own] = acceptors;
-  if (own === undefined) throw new Error('no acceptor');
+  const [localAcceptor] = acceptors;
+  if (localAcceptor === undefined) throw new Error('no acceptor');
   const others = servers.slice(1).map(({ address }) => address);
-  const proposer = new Proposer(own, others, connections, keepsPromises);
+  const proposer = new Proposer(localAcceptor, others, connections, reusesPromises);
   const value = COMMAND.toString();
   const figures = await measure((client) => proposer.change(`key-${client}`, value));
   connections.close();
@@ -110,25 +113,25 @@
   return figures;
 }
 
-const ways = {
-  'log, group commit': (one: Case) => measureLog(one, true),
-  'log, one by one': (one: Case) => measureLog(one, false),
-  'register, two rounds': (one: Case) => measureRegister(one, false),
-  'register, kept promise': (one: Case) => measureRegister(one, true),
+const variants = {
+  'log, group commit': (benchCase: Case) => measureLog(benchCase, true),
+  'log, one by one': (benchCase: Case) => measureLog(benchCase, false),
+  'register, two rounds': (benchCase: Case) => measureRegister(benchCase, false),
+  'register, kept promise': (benchCase: Case) => measureRegister(benchCase, true),
 };
 
 async function run(root: string): Promise<void> {
   process.stdout.write(
-    '| way | replicas | sync ms | p50 ms | p99 ms | commits/s |\n|---|---|---|---|---|---|\n',
+    '| variant | replicas | sync ms | p50 ms | p99 ms | commits/s |\n|---|---|---|---|---|---|\n',
   );
   for (const replicas of SIZES) {
     for (const syncMs of SYNC_DELAYS_MS) {
-      for (const [way, measureWay] of Object.entries(ways)) {
-        const folder = join(root, `${way.replaceAll(/\W+/g, '-')}-${replicas}-${syncMs}`);
+      for (const [variant, measureVariant] of Object.entries(variants)) {
+        const folder = join(root, `${variant.replaceAll(/\W+/g, '-')}-${replicas}-${syncMs}`);
         await mkdir(folder);
-        const { p50Ms, p99Ms, perSecond } = await measureWay({ replicas, syncMs, folder });
+        const { p50Ms, p99Ms, perSecond } = await measureVariant({ replicas, syncMs, folder });
         const figures = [p50Ms.toFixed(2), p99Ms.toFixed(2), perSecond.toFixed(0)];
-        process.stdout.write(`| ${[way, replicas, syncMs, ...figures].join(' | ')} |\n`);
+        process.stdout.write(`| ${[variant, replicas, syncMs, ...figures].join(' | ')} |\n`);
         await rm(folder, { recursive: true, force: true });
       }
     }
--- a/packages/coordination/src/example/embed.spec.ts
+++ b/packages/coordination/src/example/embed.spec.ts
@@ -1,4 +1,4 @@
-/** The example on real sockets, files and time. */
+/** Runs the example with real sockets, files and timers. */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -18,7 +18,7 @@
   await rm(folder, { recursive: true, force: true });
 });
 
-test('three replicas count, survive the loss of one and a restart of all', async () => {
+test('three replicas count, and survive the loss of one and a restart of all', async () => {
   const addresses = await chooseAddresses(['a', 'b', 'c']);
   const start = () => Promise.all(addresses.map((address) => startReplica(address, addresses, folder)));
   replicas = await start();
@@ -29,18 +29,18 @@
   const leader = replicas.find(({ log }) => log.status().state === 'leader') ?? a;
   await leader.stop();
   replicas = replicas.filter((replica) => replica !== leader);
-  const [left] = replicas;
-  if (left === undefined) throw new Error('no replica left');
-  expect(await countWord(left, 'jasmine')).toBe('3');
+  const [remaining] = replicas;
+  if (remaining === undefined) throw new Error('no replica left');
+  expect(await countWord(remaining, 'jasmine')).toBe('3');
   await Promise.all(replicas.splice(0).map((replica) => replica.stop()));
   replicas = await start();
-  const [again] = replicas;
-  if (again === undefined) throw new Error('no replicas');
-  expect(await countWord(again, 'jasmine')).toBe('4');
+  const [restarted] = replicas;
+  if (restarted === undefined) throw new Error('no replicas');
+  expect(await countWord(restarted, 'jasmine')).toBe('4');
   const isEverywhere = () => replicas.every(({ counter }) => counter.countOf('jasmine') === 4);
   await vi.waitFor(() => {
     expect(isEverywhere()).toBe(true);
   }, 5_000);
-  const reports = await again.log.replicas();
+  const reports = await restarted.log.replicas();
   expect(reports.map(({ reachable, voter }) => reachable && voter)).toEqual([true, true, true]);
 });
--- a/packages/coordination/src/example/embed.ts
+++ b/packages/coordination/src/example/embed.ts
@@ -1,4 +1,4 @@
-/** Embedding the replicated log: three replicas on this machine, each with its own folder and port. */
+/** Embeds the replicated log: three replicas on this machine, each with its own folder and port. */
 import { join } from 'node:path';
 import { silentLog, systemClock } from '@jasmineroute/core';
 import { ReplicatedLog } from '../agreement/index.js';
@@ -13,7 +13,7 @@
   stop(): Promise<void>;
 }
 
-/** Opens, serves and starts one replica. @throws Error when its folder can't be used. */
+/** Opens, serves and starts one replica. @throws Error when its folder can't be opened. */
 export async function startReplica(
   replica: ReplicaAddress,
   initialReplicas: readonly ReplicaAddress[],
@@ -54,7 +54,7 @@
   return addresses;
 }
 
-/** Counts a word at one replica. Returns the new count, or the reason why there is none. */
+/** Counts a word through one replica. Returns the new count, or the reason for the failure. */
 export async function countWord(replica: RunningReplica, word: string): Promise<string> {
   const result = await replica.log.propose(Buffer.from(word), 10_000);
   return result.match(
--- a/packages/coordination/src/example/index.ts
+++ b/packages/coordination/src/example/index.ts
@@ -1,3 +1,3 @@
-/** The example: embedding the replicated log. */
+/** Example that embeds the replicated log. */
 export * from './embed.js';
 export * from './wordCounter.js';
--- a/packages/coordination/src/example/wordCounter.ts
+++ b/packages/coordination/src/example/wordCounter.ts
@@ -1,4 +1,4 @@
-/** A state machine for the example: how often each word was counted. */
+/** State machine of the example: counts words. */
 import type { StateMachine } from '../agreement/index.js';
 
 /** Words and their counts. A command is a word, its result the new count. */
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -1,4 +1,4 @@
-/** Coordination parts to embed: durable storage, a replicated log and failure detection. */
+/** Embeddable coordination: durable storage, a replicated log and failure detection. */
 export * from './agreement/index.js';
 export * from './events.js';
 export * from './membership/index.js';
--- a/packages/coordination/src/loopback/loopback.ts
+++ b/packages/coordination/src/loopback/loopback.ts
@@ -8,11 +8,11 @@
 export interface LoopbackServer {
   /** host:port it listens on. */
   readonly address: string;
-  /** Cuts all connections and stops listening. */
+  /** Closes all connections and stops listening. */
   close(): Promise<void>;
 }
 
-/** Listens on a port of 127.0.0.1; 0: any free one. */
+/** Listens on a port of 127.0.0.1; 0: any free port. */
 export async function listenOnLoopback(
   routes: (router: ConnectRouter) => void,
   port = 0,
@@ -40,7 +40,7 @@
   };
 }
 
-/** One HTTP/2 connection for each address. */
+/** Client connections, one HTTP/2 connection per address. */
 export class LoopbackConnections {
   private readonly known = new Map<string, { transport: Transport; session: Http2SessionManager }>();
 
@@ -55,13 +55,13 @@
     return transport;
   };
 
-  /** Cuts the connection to host:port. */
+  /** Closes the connection to host:port. */
   drop = (address: string): void => {
     this.known.get(address)?.session.abort();
     this.known.delete(address);
   };
 
-  /** Cuts all connections. */
+  /** Closes all connections. */
   close(): void {
     for (const address of [...this.known.keys()]) this.drop(address);
   }
--- a/packages/coordination/src/metrics.ts
+++ b/packages/coordination/src/metrics.ts
@@ -1,29 +1,33 @@
 /** Metrics of this package. */
 import { defineMetrics } from '@jasmineroute/core';
 
-/** The replicated log's measurements. */
+/** Metrics of the replicated log. */
 export const coordinationMetrics = defineMetrics({
   commit: {
     name: 'coordination.commit.duration',
     type: 'timing',
     help: 'Time from proposing a command at the leader to its result, ms',
   },
-  elections: { name: 'coordination.elections', type: 'counter', help: 'Candidacies of this replica' },
+  elections: { name: 'coordination.elections', type: 'counter', help: 'Elections that this replica started' },
   dropped: {
     name: 'coordination.connections.dropped',
     type: 'counter',
-    help: 'Connections to replicas that were cut because they gave no answer',
+    help: 'Connections to replicas that were closed for lack of a response',
   },
   snapshots: { name: 'coordination.snapshots', type: 'counter', help: 'Snapshots taken' },
   spareVoters: {
     name: 'coordination.voters.spare',
     type: 'gauge',
-    help: 'Voters that may still be lost before the leader has no quorum',
+    help: 'Voters that may fail before the leader loses its quorum',
   },
   failures: {
     name: 'coordination.replica.failures',
     type: 'counter',
-    help: 'Tasks that failed, each of which has stopped the replica',
+    help: 'Failed tasks; each has stopped the replica',
+  },
+  commitIndex: {
+    name: 'coordination.commit.index',
+    type: 'gauge',
+    help: 'Index of the last committed entry',
   },
-  commitIndex: { name: 'coordination.commit.index', type: 'gauge', help: 'Last committed entry' },
 });
--- a/packages/coordination/src/testing/memoryCluster.ts
+++ b/packages/coordination/src/testing/memoryCluster.ts
@@ -1,4 +1,4 @@
-/** Replicas on a manual clock, disks and a network in memory; checks what must hold at every step. For tests. */
+/** Cluster of replicas with a manual clock and an in-memory network and disks; checks invariants at every step. For tests. */
 import type { ConnectRouter } from '@connectrpc/connect';
 import { ManualClock, silentLog } from '@jasmineroute/core';
 import type { Log } from '@jasmineroute/core';
@@ -10,10 +10,10 @@
 
 const FOLDER = '/replica';
 
-/** Longest sync, in milliseconds. */
+/** Longest simulated sync, in milliseconds. */
 const MAX_SYNC_MS = 15;
 
-/** A state machine that keeps every command. */
+/** State machine that records every command. */
 export class Recorder implements StateMachine {
   commands: string[] = [];
 
@@ -26,7 +26,7 @@
     return Buffer.from(`done ${text}`);
   }
 
-  /** All commands, whatever is asked. */
+  /** Returns all commands for any query. */
   query(): Uint8Array {
     return this.snapshot();
   }
@@ -40,23 +40,23 @@
   }
 }
 
-/** One machine. */
+/** One machine of the cluster. */
 export interface Node {
   readonly address: ReplicaAddress;
   disk: MemoryDisk;
-  recorder: Recorder;
+  createRecorder: Recorder;
   replica: ReplicatedLog | undefined;
   /** The clock of its process. */
   clock: ProcessClock;
 }
 
-/** What became of a command. */
+/** A proposed command and its outcome. */
 export interface Attempt {
   readonly command: string;
   outcome: 'open' | 'done' | 'not-run' | 'may-have-run';
 }
 
-/** What became of a query. */
+/** Outcome of a query. */
 export interface Query {
   outcome: 'open' | 'answered' | 'refused';
 }
@@ -72,13 +72,13 @@
   };
 }
 
-/** A cluster. */
+/** Cluster in memory. */
 export class MemoryCluster {
   readonly clock = new ManualClock();
   readonly network: MemoryNetwork;
   readonly nodes: Node[];
   readonly attempts: Attempt[] = [];
-  /** Broken promises that were seen, in plain words. */
+  /** Descriptions of the violated guarantees. */
   readonly violations: string[] = [];
   private readonly random: () => number;
   private readonly applied = new Map<bigint, string>();
@@ -99,9 +99,9 @@
 
   /** Adds a machine that is not among the initial replicas. */
   add(name: string): Node {
-    const node = this.node({ name, address: name });
-    this.nodes.push(node);
-    return node;
+    const createNode = this.node({ name, address: name });
+    this.nodes.push(createNode);
+    return createNode;
   }
 
   find(name: string): Node {
@@ -116,7 +116,7 @@
 
   async start(node: Node): Promise<void> {
     if (node.replica !== undefined) return;
-    node.recorder = this.recorder();
+    node.createRecorder = this.recorder();
     const clock = new ProcessClock(this.clock);
     node.clock = clock;
     const { name, address } = node.address;
@@ -131,7 +131,7 @@
       },
       clock,
       log: this.log.with({ name }),
-      stateMachine: node.recorder,
+      stateMachine: node.createRecorder,
       disk: node.disk,
       random: this.random,
     });
@@ -149,12 +149,12 @@
     await replica.start(address);
   }
 
-  /** The process stands still for so long: it takes and sends nothing, and its timers are late. */
+  /** Suspends the process for `ms` milliseconds: it neither receives nor sends, and its timers are late. */
   stall(node: Node, ms: number): void {
     node.clock.stall(ms);
   }
 
-  /** Power cut. */
+  /** Simulates a power failure of the machine. */
   crash(node: Node): void {
     const { replica } = node;
     if (replica === undefined) return;
@@ -164,13 +164,13 @@
     void replica.close();
   }
 
-  /** Power cut, and the disk is replaced by an empty one. */
+  /** Simulates a power failure after which the disk is replaced by an empty one. */
   wipe(node: Node): void {
     this.crash(node);
     node.disk = MemoryDisk.empty();
   }
 
-  /** Proposes at a node; the outcome is noted when it comes. */
+  /** Proposes a command at a node; the outcome is recorded when it arrives. */
   propose(node: Node, command: string, timeoutMs = 3_000): Attempt {
     const attempt: Attempt = { command, outcome: 'open' };
     this.attempts.push(attempt);
@@ -187,21 +187,22 @@
     return attempt;
   }
 
-  /** Asks at a node; an answer in which something is missing that was accepted before is noted. */
+  /** Queries a node; a result that lacks a command accepted before the query is recorded as a violation. */
   query(node: Node, timeoutMs = 3_000): Query {
     const query: Query = { outcome: 'open' };
     const accepted = this.attempts.filter(({ outcome }) => outcome === 'done');
     void node.replica?.query(Buffer.from('all'), timeoutMs).then((result) => {
       query.outcome = result.isOk() ? 'answered' : 'refused';
       if (result.isErr()) return;
-      const told = JSON.parse(Buffer.from(result.value).toString()) as string[];
-      const missing = accepted.filter(({ command }) => !told.includes(command));
-      for (const { command } of missing) this.violations.push(`${command} was accepted and is not told`);
+      const returned = JSON.parse(Buffer.from(result.value).toString()) as string[];
+      const missing = accepted.filter(({ command }) => !returned.includes(command));
+      for (const { command } of missing)
+        this.violations.push(`${command} was accepted but is missing in a query result`);
     });
     return query;
   }
 
-  /** Moves time on until the condition holds. Returns whether it did within `limitMs`. */
+  /** Advances time until the condition holds. Returns whether it did within `limitMs`. */
   async until(condition: () => boolean, limitMs: number): Promise<boolean> {
     const end = this.clock.monotonic() + limitMs;
     while (!condition()) {
@@ -211,7 +212,7 @@
     return true;
   }
 
-  /** The node that leads with a quorum behind it. */
+  /** The leader, if it is in contact with a quorum. */
   leader(): Node | undefined {
     return this.nodes.find(({ replica }) => {
       const status = replica?.status();
@@ -219,25 +220,26 @@
     });
   }
 
-  /** Checks, with everything repaired, that all hold the same and no answer was untrue. */
+  /** Checks, once all faults are repaired, that all replicas hold the same commands and that the reported outcomes are true. */
   checkEnd(among: readonly Node[] = this.nodes): void {
     const [first, ...others] = among.filter(({ replica }) => replica !== undefined);
-    const kept = first?.recorder.commands ?? [];
+    const commands = first?.createRecorder.commands ?? [];
     for (const other of others) {
-      const isSame = JSON.stringify(other.recorder.commands) === JSON.stringify(kept);
-      if (!isSame) this.violations.push(`${other.address.name} holds something else`);
+      const isSame = JSON.stringify(other.createRecorder.commands) === JSON.stringify(commands);
+      if (!isSame) this.violations.push(`${other.address.name} holds different commands`);
     }
     for (const { command, outcome } of this.attempts) {
-      const times = kept.filter((other) => other === command).length;
+      const times = commands.filter((other) => other === command).length;
       if (times > 1) this.violations.push(`${command} ran ${times} times`);
-      if (outcome === 'done' && times === 0) this.violations.push(`${command} was accepted and is gone`);
-      if (outcome === 'not-run' && times > 0) this.violations.push(`${command} ran, "not run" was told`);
+      if (outcome === 'done' && times === 0) this.violations.push(`${command} was accepted but lost`);
+      if (outcome === 'not-run' && times > 0)
+        this.violations.push(`${command} ran but was reported as not run`);
     }
   }
 
   private node(address: ReplicaAddress): Node {
     const clock = new ProcessClock(this.clock);
-    return { address, disk: MemoryDisk.empty(), recorder: this.recorder(), replica: undefined, clock };
+    return { address, disk: MemoryDisk.empty(), createRecorder: this.recorder(), replica: undefined, clock };
   }
 
   private recorder(): Recorder {
--- a/packages/coordination/src/testing/memoryNetwork.ts
+++ b/packages/coordination/src/testing/memoryNetwork.ts
@@ -1,4 +1,4 @@
-/** A network in memory that loses, delays and reorders calls, and lets connections go silent. For tests. */
+/** In-memory network that loses, delays and reorders messages, and can make connections unresponsive. For tests. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import type { DescMessage, DescMethodUnary, MessageInitShape, MessageShape } from '@bufbuild/protobuf';
 import { Code, ConnectError } from '@connectrpc/connect';
@@ -9,7 +9,7 @@
 type Handler = (request: unknown) => Promise<unknown>;
 type Handlers = Record<string, Handler>;
 
-/** A request on its way, or the answer to it. */
+/** A request or a response in transit. */
 export interface Message {
   readonly from: string;
   readonly to: string;
@@ -18,36 +18,36 @@
   readonly content: unknown;
 }
 
-/** A message that does not arrive before it is released. */
+/** A message that is held back until it is released. */
 interface HeldMessage {
   readonly message: Message;
   readonly release: () => void;
 }
 
-/** One connection; `silent` ones carry nothing and never fail. */
+/** One connection. A silent one delivers nothing and never fails. */
 interface Connection {
-  readonly transport: Transport;
-  /** Ends the calls that are open on it. */
-  readonly open: Set<() => void>;
-  /** Messages on their way. */
-  carrying: number;
+  readonly createTransport: Transport;
+  /** Callbacks that abort the calls in progress. */
+  readonly openCalls: Set<() => void>;
+  /** Requests being transmitted. */
+  inFlight: number;
   isDropped: boolean;
-  silent: boolean;
+  isSilent: boolean;
 }
 
 const linkOf = (from: string, to: string): string => `${from}>${to}`;
 
 /** Replicas by address, and the links between them. */
 export class MemoryNetwork {
-  /** Share of messages that are lost. */
+  /** Fraction of messages that are lost. */
   loss = 0;
-  /** Longest delay one way, in milliseconds; each message has its own. */
+  /** Longest one-way delay, in milliseconds; drawn for each message. */
   maxDelayMs = 10;
-  /** Bytes that a connection carries in a millisecond; the messages on it share them. */
+  /** Bandwidth of a connection in bytes per millisecond, shared by the requests on it. */
   bytesPerMs = Infinity;
-  /** Messages that arrive only once they are released. */
+  /** Selects the messages to hold back until they are released. */
   isHeld: (message: Message) => boolean = () => false;
-  private held: HeldMessage[] = [];
+  private heldMessages: HeldMessage[] = [];
   private readonly clocks = new Map<string, ProcessClock>();
   private readonly servers = new Map<string, Handlers>();
   private readonly connections = new Map<string, Connection>();
@@ -58,7 +58,7 @@
     private readonly random: () => number,
   ) {}
 
-  /** Serves what `routes` registers at an address; a process takes messages only while its clock runs. */
+  /** Serves the services of `routes` at an address. With `clock`, messages arrive only while its process is running. */
   serve(address: string, routes: (router: ConnectRouter) => void, clock?: ProcessClock): void {
     const handlers: Handlers = {};
     const service = (_: unknown, implementation: Handlers): void => {
@@ -69,7 +69,7 @@
     if (clock !== undefined) this.clocks.set(address, clock);
   }
 
-  /** Nobody listens at the address any more. */
+  /** Stops serving at an address; calls to it are refused. */
   unserve(address: string): void {
     this.servers.delete(address);
     this.clocks.delete(address);
@@ -78,16 +78,16 @@
   connect(from: string, to: string): Transport {
     const link = linkOf(from, to);
     const known = this.connections.get(link);
-    if (known !== undefined) return known.transport;
+    if (known !== undefined) return known.createTransport;
     const connection: Connection = {
-      transport: this.transport(from, to),
-      open: new Set(),
-      carrying: 0,
+      createTransport: this.transport(from, to),
+      openCalls: new Set(),
+      inFlight: 0,
       isDropped: false,
-      silent: false,
+      isSilent: false,
     };
     this.connections.set(link, connection);
-    return connection.transport;
+    return connection.createTransport;
   }
 
   drop(from: string, to: string): void {
@@ -95,38 +95,38 @@
     if (connection === undefined) return;
     connection.isDropped = true;
     this.connections.delete(linkOf(from, to));
-    for (const end of connection.open) end();
+    for (const end of connection.openCalls) end();
   }
 
-  /** The connections there are between two replicas go silent; new ones work. */
+  /** Makes the existing connections between two replicas unresponsive; new ones work. */
   silence(a: string, b: string): void {
     for (const link of [linkOf(a, b), linkOf(b, a)]) {
       const connection = this.connections.get(link);
-      if (connection !== undefined) connection.silent = true;
+      if (connection !== undefined) connection.isSilent = true;
     }
   }
 
-  /** Nothing passes between two replicas. */
+  /** Drops all messages between two replicas. */
   cut(a: string, b: string): void {
     this.cuts.add(linkOf(a, b)).add(linkOf(b, a));
   }
 
-  /** Nothing passes from one replica to another; the way back works. */
+  /** Drops all messages from one replica to another, but not in the other direction. */
   cutOneWay(from: string, to: string): void {
     this.cuts.add(linkOf(from, to));
   }
 
-  /** All links work again. */
+  /** Restores all links. */
   heal(): void {
     this.cuts.clear();
   }
 
-  /** Lets messages arrive that were held, and returns them. */
+  /** Delivers held messages and returns them. */
   release(isReleased: (message: Message) => boolean = () => true): Message[] {
-    const released = this.held.filter(({ message }) => isReleased(message));
-    this.held = this.held.filter((held) => !released.includes(held));
-    for (const { release } of released) release();
-    return released.map(({ message }) => message);
+    const waitForRelease = this.heldMessages.filter(({ message }) => isReleased(message));
+    this.heldMessages = this.heldMessages.filter((held) => !waitForRelease.includes(held));
+    for (const { release } of waitForRelease) release();
+    return waitForRelease.map(({ message }) => message);
   }
 
   private transport(from: string, to: string): Transport {
@@ -139,82 +139,88 @@
     ): Promise<UnaryResponse<I, O>> => {
       const connection = this.connections.get(linkOf(from, to));
       const request = copy(method.input, create(method.input, input));
-      const asked = { from, to, method: method.localName, isAnswer: false, content: request };
+      const requestMessage = { from, to, method: method.localName, isAnswer: false, content: request };
       if (this.bytesPerMs < Infinity)
-        await this.transfer(toBinary(method.input, request).length, connection, signal);
-      await this.carry(asked, connection, signal);
+        await this.transmit(toBinary(method.input, request).length, connection, signal);
+      await this.deliver(requestMessage, connection, signal);
       const handler = this.servers.get(to)?.[method.localName];
-      if (handler === undefined) throw refused();
+      if (handler === undefined) throw connectionRefused();
       const message = copy(method.output, (await handler(request)) as MessageShape<O>);
-      const answered = { from: to, to: from, method: method.localName, isAnswer: true, content: message };
-      await this.carry(answered, connection, signal);
+      const responseMessage = {
+        from: to,
+        to: from,
+        method: method.localName,
+        isAnswer: true,
+        content: message,
+      };
+      await this.deliver(responseMessage, connection, signal);
       const headers = { header: new Headers(), trailer: new Headers() };
       return { stream: false, service: method.parent, method, message, ...headers };
     };
     return { unary, stream: () => Promise.reject(new Error('not used')) };
   }
 
-  /** Resolves when the bytes of a request have left, unless it is given up. */
-  private async transfer(
+  /** Resolves when the bytes of a request are transmitted, or when the call is aborted. */
+  private async transmit(
     bytes: number,
     connection: Connection | undefined,
     signal: AbortSignal | undefined,
   ): Promise<void> {
     if (connection === undefined) return;
-    const isGivenUp = (): boolean => signal?.aborted === true || connection.isDropped;
-    connection.carrying += 1;
-    for (let left = bytes; left > 0 && !isGivenUp(); left -= this.bytesPerMs / connection.carrying)
+    const isAborted = (): boolean => signal?.aborted === true || connection.isDropped;
+    connection.inFlight += 1;
+    for (let left = bytes; left > 0 && !isAborted(); left -= this.bytesPerMs / connection.inFlight)
       await this.clock.sleep(1);
-    connection.carrying -= 1;
+    connection.inFlight -= 1;
   }
 
-  /** Resolves when the message arrives; a lost one ends with the caller's patience. */
-  private async carry(
+  /** Resolves when the message arrives. The call of a lost one ends only when the caller aborts it. */
+  private async deliver(
     message: Message,
     connection: Connection | undefined,
     signal: AbortSignal | undefined,
   ): Promise<void> {
     const { from, to } = message;
-    const isLost = connection?.silent === true || this.random() < this.loss;
+    const isLost = connection?.isSilent === true || this.random() < this.loss;
     if (!isLost) await this.clock.sleep(this.random() * this.maxDelayMs);
     if (signal?.aborted === true || connection?.isDropped === true) throw aborted();
-    if (isLost || this.cuts.has(linkOf(from, to))) await unlessEnded(never(), connection, signal);
-    if (this.isHeld(message)) await unlessEnded(this.released(message), connection, signal);
+    if (isLost || this.cuts.has(linkOf(from, to))) await untilAborted(never(), connection, signal);
+    if (this.isHeld(message)) await untilAborted(this.released(message), connection, signal);
     const clock = this.clocks.get(to);
-    if (clock?.isStalled === true) await unlessEnded(clock.turn(), connection, signal);
+    if (clock?.isStalled === true) await untilAborted(clock.waitForInput(), connection, signal);
   }
 
   private released(message: Message): Promise<void> {
     return new Promise((release) => {
-      this.held.push({ message, release });
+      this.heldMessages.push({ message, release });
     });
   }
 }
 
 const never = (): Promise<void> => new Promise(() => undefined);
 
-/** Waits for an arrival; rejects when the call or its connection ends before. */
-const unlessEnded = (
+/** Waits for an arrival; rejects when the call is aborted or its connection dropped before. */
+const untilAborted = (
   arrival: Promise<void>,
   connection: Connection | undefined,
   signal: AbortSignal | undefined,
 ): Promise<void> =>
   new Promise((resolve, reject) => {
     const end = (): void => {
-      connection?.open.delete(end);
+      connection?.openCalls.delete(end);
       reject(aborted());
     };
-    connection?.open.add(end);
+    connection?.openCalls.add(end);
     signal?.addEventListener('abort', end);
     void arrival.then(() => {
-      connection?.open.delete(end);
+      connection?.openCalls.delete(end);
       resolve();
     });
   });
 
 const aborted = (): ConnectError => new ConnectError('aborted', Code.Canceled);
 
-function refused(): ConnectError {
+function connectionRefused(): ConnectError {
   const cause = Object.assign(new Error('refused'), { code: 'ECONNREFUSED' });
   return new ConnectError('refused', Code.Unavailable, undefined, undefined, cause);
 }
--- a/packages/coordination/src/testing/processClock.ts
+++ b/packages/coordination/src/testing/processClock.ts
@@ -1,20 +1,20 @@
-/** The clock of one process that can stand still while time goes on. For tests. */
+/** Clock of a process that can be suspended while time advances. For tests. */
 import type { Cancellation, Clock } from '@jasmineroute/core';
 
 /**
- * While the process stands still, timers and arrivals wait. Afterwards all timers that are overdue come first, as in Node's
- * event loop, which polls for input only behind them.
+ * While the process is suspended, timers and input are pending. Afterwards all overdue timers run first, as in Node's event
+ * loop, which polls for input only after them.
  */
 export class ProcessClock implements Clock {
   private stalledUntil = -Infinity;
-  private readonly timers: (() => void)[] = [];
-  private readonly arrivals: (() => void)[] = [];
+  private readonly overdueTimers: (() => void)[] = [];
+  private readonly pendingInput: (() => void)[] = [];
 
   constructor(private readonly clock: Clock) {}
 
-  /** Whether something that falls due now has to wait. */
+  /** Whether timers and input that are due now have to wait. */
   get isStalled(): boolean {
-    return this.monotonic() < this.stalledUntil || this.timers.length + this.arrivals.length > 0;
+    return this.monotonic() < this.stalledUntil || this.overdueTimers.length + this.pendingInput.length > 0;
   }
 
   now(): Date {
@@ -44,7 +44,7 @@
     const cancel = this.clock.after(ms, () => {
       this.run(() => {
         if (!isCancelled) action();
-      }, this.timers);
+      }, this.overdueTimers);
     });
     return () => {
       isCancelled = true;
@@ -52,14 +52,14 @@
     };
   }
 
-  /** Resolves when the process takes what has arrived. */
-  turn(): Promise<void> {
+  /** Resolves when the process reads the input that arrives now. */
+  waitForInput(): Promise<void> {
     return new Promise((resolve) => {
-      this.run(resolve, this.arrivals);
+      this.run(resolve, this.pendingInput);
     });
   }
 
-  /** The process stands still for so long. */
+  /** Suspends the process for `ms` milliseconds. */
   stall(ms: number): void {
     this.stalledUntil = Math.max(this.stalledUntil, this.monotonic() + ms);
     this.clock.after(ms, () => {
@@ -72,10 +72,10 @@
     else action();
   }
 
-  /** One action a step of the clock, so that what it starts settles before the next one. */
+  /** Runs one action per step of the clock, so that its promises settle before the next one. */
   private resume(): void {
     if (this.monotonic() < this.stalledUntil) return;
-    const action = this.timers.shift() ?? this.arrivals.shift();
+    const action = this.overdueTimers.shift() ?? this.pendingInput.shift();
     if (action === undefined) return;
     action();
     this.clock.after(0, () => {
--- a/packages/coordination/src/testing/stubReplica.ts
+++ b/packages/coordination/src/testing/stubReplica.ts
@@ -1,4 +1,4 @@
-/** A replica whose answers a test decides. */
+/** Replica with responses that a test controls. */
 import { create } from '@bufbuild/protobuf';
 import { Code, ConnectError } from '@connectrpc/connect';
 import {
@@ -11,13 +11,13 @@
 import { voter } from '../agreement/configuration.js';
 import type { MemoryNetwork } from './memoryNetwork.js';
 
-/** Consents to everything, up to a limit. Its address is its name. */
+/** Grants every vote and accepts all entries, up to a limit. Its address is its name. */
 export class StubReplica {
-  /** It claims to have synced no entry behind this one. */
+  /** Index of the last entry that it reports as synced. */
   syncedLimit = 1_000_000n;
-  /** False: it answers nothing. */
+  /** Whether it responds to calls. */
   answers = true;
-  /** What it was sent. */
+  /** Append requests that it received. */
   readonly appended: AppendRequest[] = [];
 
   constructor(
