--- a/packages/core/src/clock/activeWait.spec.ts
+++ b/packages/core/src/clock/activeWait.spec.ts
@@ -4,7 +4,7 @@
 
 const WAIT_MS = 500;
 
-/** A clock whose time moves on without its timers while the process stands still. */
+/** A clock whose time can advance without its timers, as in a stalled process. */
 class StallingClock extends ManualClock {
   private skippedMs = 0;
 
@@ -17,7 +17,7 @@
   }
 }
 
-describe('a wait that counts only time at work', () => {
+describe('afterActive', () => {
   let clock: StallingClock;
   let endedAt: number | undefined;
   let cancel: () => void;
@@ -30,15 +30,15 @@
     });
   });
 
-  it('ends in time', async () => {
+  it('runs the action after the wait', async () => {
     await clock.advance(WAIT_MS - 1);
     expect(endedAt).toBeUndefined();
     await clock.advance(1);
     expect(endedAt).toBe(WAIT_MS);
   });
 
-  // Guards against an answer that is there already, and is given up as timers run before it is read.
-  it('goes on after a stall that is longer than it', async () => {
+  // Guards against a timeout although the response has arrived: after a stall, timers run before input is read.
+  it('continues to wait after a stall that is longer than the wait', async () => {
     clock.stall(2 * WAIT_MS);
     await clock.advance(WAIT_MS / 2);
     expect(endedAt).toBeUndefined();
@@ -46,7 +46,7 @@
     expect(endedAt).toBeDefined();
   });
 
-  it('ends at last in a process that stands still again and again', async () => {
+  it('ends in a process that stalls again and again', async () => {
     for (let stalls = 0; stalls < 10; stalls += 1) {
       clock.stall(WAIT_MS);
       await clock.advance(WAIT_MS / 5);
@@ -54,7 +54,7 @@
     expect(endedAt).toBeDefined();
   });
 
-  it('is called off', async () => {
+  it('does not run the action once cancelled', async () => {
     await clock.advance(WAIT_MS / 2);
     cancel();
     await clock.advance(WAIT_MS);
--- a/packages/core/src/clock/activeWait.ts
+++ b/packages/core/src/clock/activeWait.ts
@@ -1,27 +1,27 @@
-/** Waits that don't run out while the process stands still. */
+/** Timers that do not expire because of a stall of the process. */
 import type { Cancellation, Clock } from './clock.js';
 
-/** Parts of a wait. A part that takes twice its time or more has met a stall. */
+/** A wait is split into parts. A part that takes `STALL_FACTOR` times its duration or longer was stalled. */
 const PARTS = 5;
-const STALLED = 2;
+const STALL_FACTOR = 2;
 
 /**
- * Calls `action` once after `ms` milliseconds in which this process was at work. What arrives during a stall is read only after
- * it, and after the timers that fell due meanwhile: a plain timer would run out beside an answer that is there already. Stalls
- * lengthen the wait to twice its time at most, counted in parts.
+ * Calls `action` once after `ms` milliseconds during which this process was running. Input that arrives during a stall is read
+ * only after it, and after the timers that fell due meanwhile, so a plain timer would expire although a response has already
+ * arrived. Stalls at most double the number of parts.
  */
 export function afterActive(clock: Clock, ms: number, action: () => void): Cancellation {
   const partMs = ms / PARTS;
-  let left = PARTS;
-  let stalls = PARTS;
+  let remainingParts = PARTS;
+  let remainingStalledParts = PARTS;
   let cancel: Cancellation = () => undefined;
   const next = (): void => {
-    const begunAt = clock.monotonic();
+    const startedAt = clock.monotonic();
     cancel = clock.after(partMs, () => {
-      const isStalled = clock.monotonic() - begunAt >= partMs * STALLED;
-      if (isStalled && stalls > 0) stalls -= 1;
-      else left -= 1;
-      if (left > 0) next();
+      const isStalled = clock.monotonic() - startedAt >= partMs * STALL_FACTOR;
+      if (isStalled && remainingStalledParts > 0) remainingStalledParts -= 1;
+      else remainingParts -= 1;
+      if (remainingParts > 0) next();
       else action();
     });
   };
--- a/packages/core/src/clock/clock.ts
+++ b/packages/core/src/clock/clock.ts
@@ -1,6 +1,6 @@
-/** Time as a port, so that tests decide what time it is. */
+/** Port for time, so that tests can control it. */
 
-/** Source of time. Wall-clock time never decides an order; the monotonic one measures durations. */
+/** Source of time. Durations are measured with monotonic time; wall-clock time must not be used to order events. */
 export interface Clock {
   /** Wall-clock time. It may jump. */
   now(): Date;
@@ -8,9 +8,9 @@
   monotonic(): number;
   /** Resolves after `ms` milliseconds, or rejects with the signal's reason when aborted before. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
-  /** Calls `action` once after `ms` milliseconds. Returns the way to call it off. */
+  /** Calls `action` once after `ms` milliseconds. Returns a function that cancels it. */
   after(ms: number, action: () => void): Cancellation;
 }
 
-/** Calls off a timer. Calling it twice is harmless. */
+/** Cancels a timer. Calling it twice is harmless. */
 export type Cancellation = () => void;
--- a/packages/core/src/clock/manualClock.spec.ts
+++ b/packages/core/src/clock/manualClock.spec.ts
@@ -13,7 +13,7 @@
     expect(clock.monotonic()).toBe(30);
   });
 
-  it('rejects a sleep that is aborted', async () => {
+  it('rejects an aborted sleep', async () => {
     const clock = new ManualClock();
     const abort = new AbortController();
     const sleep = clock.sleep(10, abort.signal);
--- a/packages/core/src/clock/manualClock.ts
+++ b/packages/core/src/clock/manualClock.ts
@@ -5,7 +5,7 @@
   readonly action: () => void;
 }
 
-/** A clock that stands still until a test moves it. */
+/** A clock that advances only when a test calls `advance`. */
 export class ManualClock implements Clock {
   private elapsed = 0;
   private readonly timers = new Set<Timer>();
@@ -42,7 +42,7 @@
     };
   }
 
-  /** Moves time on and runs what falls due, in order, letting promises settle between. */
+  /** Advances time and runs the timers that fall due, in order, letting promises settle in between. */
   async advance(ms: number): Promise<void> {
     const end = this.elapsed + ms;
     for (;;) {
--- a/packages/core/src/clock/systemClock.ts
+++ b/packages/core/src/clock/systemClock.ts
@@ -2,7 +2,7 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Clock } from './clock.js';
 
-/** The machine's time. */
+/** The system's clock and timers. */
 export const systemClock: Clock = {
   now: () => new Date(),
   monotonic: () => performance.now(),
--- a/packages/core/src/event/event.ts
+++ b/packages/core/src/event/event.ts
@@ -1,11 +1,11 @@
-/** Structured logs: every line is a numbered event of a catalogue. */
+/** Structured logging: every line is an event with an id, defined in a catalogue. */
 import { pino } from 'pino';
 import type { Logger } from 'pino';
 
 /** Severity of an event. */
 export type Level = 'debug' | 'info' | 'warn' | 'error';
 
-/** One kind of event. Ids are unique over all packages and are never given out again. */
+/** One kind of event. Ids are unique across all packages and are never reused. */
 export interface EventKind {
   readonly id: number;
   readonly level: Level;
@@ -15,9 +15,9 @@
 /** Fields of one logged event. */
 export type Fields = Readonly<Record<string, unknown>>;
 
-/** Where events go. */
+/** Port for logging. */
 export interface Log {
-  /** Writes one event. */
+  /** Logs one event. */
   event(kind: EventKind, fields?: Fields): void;
   /** A log that adds `fields` to each event. */
   with(fields: Fields): Log;
@@ -28,44 +28,44 @@
   return catalogue;
 }
 
-const wrap = (logger: Logger): Log => ({
+const toLog = (logger: Logger): Log => ({
   event: (kind, fields) => {
     logger[kind.level]({ event: kind.id, ...fields }, kind.message);
   },
-  with: (fields) => wrap(logger.child(fields)),
+  with: (fields) => toLog(logger.child(fields)),
 });
 
 /** Streams that log lines can go to. */
 export type LogStream = 'stderr' | 'stdout';
 
-/** Bytes that are gathered before a write to standard output, and how long they wait at most, milliseconds. */
-const GATHER_BYTES = 4_096;
-const GATHER_MS = 250;
+/** Bytes that are buffered before a write to standard output, and the longest time that they wait, milliseconds. */
+const BUFFER_BYTES = 4_096;
+const FLUSH_INTERVAL_MS = 250;
 
-/** Bytes that may wait for a reader of standard output that is slow; more are dropped rather than hold up work. */
-const MOST_WAITING_BYTES = 1_048_576;
+/** Bytes that may be pending for a slow reader of standard output; more are dropped, so that logging never blocks work. */
+const MAX_PENDING_BYTES = 1_048_576;
 
-/** Standard error: each line at once. Standard output: gathered, and never waited for. */
+/** Standard error is written synchronously, line by line; standard output is buffered and written asynchronously. */
 const destinations: Record<LogStream, () => ReturnType<typeof pino.destination>> = {
   stderr: () => pino.destination({ fd: 2, sync: true }),
   stdout: () => {
-    const gathered = pino.destination({
+    const destination = pino.destination({
       fd: 1,
       sync: false,
-      minLength: GATHER_BYTES,
-      periodicFlush: GATHER_MS,
-      maxLength: MOST_WAITING_BYTES,
+      minLength: BUFFER_BYTES,
+      periodicFlush: FLUSH_INTERVAL_MS,
+      maxLength: MAX_PENDING_BYTES,
     });
     process.on('exit', () => {
-      gathered.flushSync();
+      destination.flushSync();
     });
-    return gathered;
+    return destination;
   },
 };
 
-/** JSON lines. */
+/** Creates a log that writes JSON lines. */
 export function createLog(level: Level, fields: Fields = {}, stream: LogStream = 'stderr'): Log {
-  return wrap(
+  return toLog(
     pino(
       { level, base: { pid: process.pid, ...fields }, timestamp: pino.stdTimeFunctions.isoTime },
       destinations[stream](),
@@ -73,7 +73,7 @@
   );
 }
 
-/** Drops everything; for tests. */
+/** Discards all events; for tests. */
 export const silentLog: Log = {
   event: () => undefined,
   with: () => silentLog,
--- a/packages/core/src/event/problemTally.spec.ts
+++ b/packages/core/src/event/problemTally.spec.ts
@@ -4,7 +4,7 @@
 
 const event = { id: 1, level: 'warn', message: 'can not be read' } as const;
 
-describe('a tally of problems', () => {
+describe('ProblemTally', () => {
   it('logs the first, the tenth and the hundredth of a source, and counts all', () => {
     const lines: unknown[] = [];
     const log = { ...silentLog, event: (_kind: unknown, fields: unknown) => lines.push(fields) };
@@ -20,7 +20,7 @@
     expect(tally.countOf('a')).toBe(150);
   });
 
-  it('counts problems that come together', () => {
+  it('counts problems that are recorded together', () => {
     const lines: unknown[] = [];
     const log = { ...silentLog, event: (_kind: unknown, fields: unknown) => lines.push(fields) };
     const tally = new ProblemTally(log, event);
@@ -31,7 +31,7 @@
     expect(tally.countOf('a')).toBe(21);
   });
 
-  it('tells a bounded number of sources apart', () => {
+  it('counts a bounded number of sources separately', () => {
     const lines: { source?: string }[] = [];
     const log = { ...silentLog, event: (_kind: unknown, fields = {}) => void lines.push(fields) };
     const tally = new ProblemTally(log, event);
--- a/packages/core/src/fault/fault.ts
+++ b/packages/core/src/fault/fault.ts
@@ -1,19 +1,19 @@
-/** The closed list of error kinds, and the table from kind to answer. */
+/** The closed list of fault kinds, and the table from kind to response. */
 
-/** Whether a request ran: proved not, not known, or yes. */
+/** Whether a request ran: proven not to have run, unknown, or run. */
 export type Ran = 'not-run' | 'may-have-run' | 'ran';
 
-/** How a kind of fault is answered. */
+/** Response to a kind of fault. */
 export interface FaultAnswer {
   /** HTTP status towards callers. */
   readonly status: number;
   /** Error type in the OpenAI-compatible error object. */
   readonly type: string;
-  /** What is known of the run when nothing closer is. */
+  /** Whether the request ran, unless the fault says otherwise. */
   readonly ran: Ran;
-  /** Whether another attempt may go out when the request did not run or is idempotent. */
+  /** Whether the request may be retried if it did not run or is idempotent. */
   readonly retryable: boolean;
-  /** When the caller may come back, in milliseconds, when nothing closer is known. */
+  /** Delay before a retry by the caller, in milliseconds, unless the fault sets one. */
   readonly retryAfterMs?: number;
 }
 
@@ -39,7 +39,7 @@
   retryable,
 });
 
-/** One row for each kind. */
+/** Responses by fault kind. */
 export const faultAnswers = {
   // The request itself.
   'invalid-request': client(400),
@@ -50,7 +50,7 @@
   forbidden: client(403, 'permission_error'),
   'unknown-model': client(404, 'not_found_error'),
   'unknown-route': client(404, 'not_found_error'),
-  // At most once.
+  // Execution at most once.
   'key-reused': client(422, 'idempotency_error'),
   'already-running': {
     status: 409,
@@ -92,10 +92,10 @@
   'storage-failed': refusal(503, 'server_error', 5_000),
 } as const satisfies Record<string, FaultAnswer>;
 
-/** Name of a kind of fault: stable, part of the interface towards callers. */
+/** Name of a fault kind: stable, part of the interface to callers. */
 export type FaultKind = keyof typeof faultAnswers;
 
-/** An error that crosses a module's border. */
+/** An error that crosses a module boundary. */
 export interface Fault {
   readonly kind: FaultKind;
   readonly message: string;
@@ -104,14 +104,14 @@
   readonly cause?: unknown;
 }
 
-/** Details that override a kind's row. */
+/** Details that override the defaults of a kind. */
 export interface FaultDetail {
   readonly ran?: Ran;
   readonly retryAfterMs?: number;
   readonly cause?: unknown;
 }
 
-/** Makes a fault of a kind, with the kind's row for whatever `detail` leaves out. */
+/** Creates a fault, with the kind's defaults for whatever `detail` leaves out. */
 export function fault(kind: FaultKind, message: string, detail: FaultDetail = {}): Fault {
   const answer: FaultAnswer = faultAnswers[kind];
   return {
@@ -123,12 +123,12 @@
   };
 }
 
-/** Tells a kind from any other string, as for kinds that arrive in messages. */
+/** Whether a string, for example from a message, is a fault kind. */
 export function isFaultKind(value: string): value is FaultKind {
   return Object.hasOwn(faultAnswers, value);
 }
 
-/** The row of a kind. */
+/** The response to a kind of fault. */
 export function answerOf(kind: FaultKind): FaultAnswer {
   return faultAnswers[kind];
 }
--- a/packages/core/src/id/id.ts
+++ b/packages/core/src/id/id.ts
@@ -1,6 +1,6 @@
 import { randomUUID } from 'node:crypto';
 
-/** A fresh id with a prefix that tells what it names: "req-…". */
+/** A new unique id with a prefix for the kind of object, for example "req-…". */
 export function newId(prefix: string): string {
   return `${prefix}-${randomUUID()}`;
 }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,4 +1,4 @@
-/** Ports and small utilities that every package shares. */
+/** Ports and small utilities shared by all packages. */
 export * from './clock/index.js';
 export * from './event/index.js';
 export * from './fault/index.js';
--- a/packages/core/src/metric/metric.ts
+++ b/packages/core/src/metric/metric.ts
@@ -1,4 +1,4 @@
-/** Metrics as a port; StatsD behind it. */
+/** Port for metrics, with an implementation that sends them to StatsD. */
 import { StatsD } from 'hot-shots';
 
 /** Labels of one measurement. */
@@ -11,15 +11,15 @@
   readonly help: string;
 }
 
-/** Where measurements go. */
+/** Port for metrics. */
 export interface Metrics {
-  /** Adds to a counter. */
+  /** Increments a counter. */
   count(kind: MetricKind, value?: number, labels?: Labels): void;
   /** Sets a gauge. */
   gauge(kind: MetricKind, value: number, labels?: Labels): void;
   /** Records a duration in milliseconds. */
   timing(kind: MetricKind, ms: number, labels?: Labels): void;
-  /** Sends what is buffered. */
+  /** Flushes buffered measurements. */
   close(): Promise<void>;
 }
 
@@ -57,7 +57,7 @@
   };
 }
 
-/** Drops everything. */
+/** Discards all measurements. */
 export const silentMetrics: Metrics = {
   count: () => undefined,
   gauge: () => undefined,
--- a/packages/core/src/metric/textMetrics.spec.ts
+++ b/packages/core/src/metric/textMetrics.spec.ts
@@ -6,8 +6,8 @@
 const open: MetricKind = { name: 'a.open', type: 'gauge', help: 'Open' };
 const duration: MetricKind = { name: 'a.duration', type: 'timing', help: 'Duration' };
 
-describe('metrics as text', () => {
-  it('hold counters, gauges and histograms with their labels', async () => {
+describe('text metrics', () => {
+  it('contain counters, gauges and histograms with their labels', async () => {
     const metrics = createTextMetrics({ instance: 'e1' });
     metrics.count(requests, 1, { outcome: 'ok' });
     metrics.count(requests, 2, { outcome: 'ok' });
@@ -20,7 +20,7 @@
     expect(text).toContain('jasmineroute_a_duration_bucket{le="25",instance="e1"} 0');
   });
 
-  it('go to each of several places', async () => {
+  it('receive the measurements of combined metrics', async () => {
     const [first, second] = [createTextMetrics({}), createTextMetrics({})];
     eachOf([first, second]).count(requests);
     expect(await first.text()).toBe(await second.text());
--- a/packages/core/src/registry/registry.ts
+++ b/packages/core/src/registry/registry.ts
@@ -1,10 +1,10 @@
-/** The small centre through which features plug in: a name to a feature, and nothing else. */
+/** Registry of pluggable features by name. */
 
 /** Features by name. */
 export class Registry<Feature> {
   private readonly features = new Map<string, Feature>();
 
-  /** @param kind What is registered, for error texts: "policy", "role". */
+  /** @param kind kind of the features, for error messages: "policy", "role" */
   constructor(private readonly kind: string) {}
 
   /** Adds a feature. @throws Error when the name is taken. */
@@ -19,7 +19,7 @@
     return this.features.get(name);
   }
 
-  /** The feature of a name. @throws Error naming the ones there are. */
+  /** The feature of a name. @throws Error that lists the registered names. */
   get(name: string): Feature {
     const feature = this.features.get(name);
     if (feature === undefined)
--- a/packages/core/src/setting/setting.spec.ts
+++ b/packages/core/src/setting/setting.spec.ts
@@ -8,7 +8,7 @@
 });
 
 describe('settings', () => {
-  it('writes each setting as a flag and a variable', () => {
+  it('have a flag and an environment variable each', () => {
     expect(settingsOf(schema)[0]).toEqual({
       key: 'dataCentre',
       flag: '--data-centre',
@@ -17,7 +17,7 @@
     });
   });
 
-  it('puts the flag before the variable and the variable before the default', () => {
+  it('take the flag before the variable and the variable before the default', () => {
     const read = readSettings(
       schema,
       { port: '1' },
@@ -26,14 +26,14 @@
     expect(read._unsafeUnwrap()).toEqual({ port: 1, dataCentre: 'dehiwala' });
   });
 
-  it('names the setting, the value and what is allowed in one line', () => {
+  it('report an invalid value in one line with the setting, the value and what is allowed', () => {
     const line = readSettings(schema, { port: '99999' }, {})._unsafeUnwrapErr();
     expect(line).toContain('--port (JASMINEROUTE_PORT) is "99999"');
     expect(line).toContain('Allowed: 0 to 65535');
     expect(line).not.toContain('\n');
   });
 
-  it('says which setting is missing', () => {
+  it('report which setting is missing', () => {
     expect(readSettings(schema, {}, {})._unsafeUnwrapErr()).toContain(
       '--port (JASMINEROUTE_PORT) is not set',
     );
--- a/packages/core/src/setting/setting.ts
+++ b/packages/core/src/setting/setting.ts
@@ -1,4 +1,4 @@
-/** Process settings: one schema gives the flags, the environment variables, the checks and the docs. */
+/** Process settings: flags, environment variables, validation and documentation are derived from one schema. */
 import { Command, Option } from 'commander';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -7,13 +7,13 @@
 /** Prefix of the environment variables. */
 export const ENVIRONMENT_PREFIX = 'JASMINEROUTE_';
 
-/** Exit code for a wrong setting. */
+/** Exit code for an invalid setting. */
 export const EXIT_USAGE = 2;
 
-/** A settings schema: an object of fields, each with a default or required, and described. */
+/** A settings schema: an object of fields with descriptions, each with a default or required. */
 export type SettingsSchema = z.ZodObject;
 
-/** How one setting is written. */
+/** One setting with its flag and environment variable. */
 export interface Setting {
   /** Key in the schema, "dataCentre". */
   readonly key: string;
@@ -45,9 +45,9 @@
 }
 
 /**
- * Reads settings: flags before environment variables before defaults. Values are strings, so fields that
- * are not use `z.coerce` or a transform.
- * @returns the settings, or one line naming the setting, the value and what is allowed.
+ * Reads settings. Flags take precedence over environment variables, and these over defaults. Values are strings, so
+ * fields of other types need `z.coerce` or a transform.
+ * @returns the settings, or an error in one line with the setting, its value and the allowed values.
  */
 export function readSettings<S extends SettingsSchema>(
   schema: S,
--- a/packages/core/src/stall/stallWatch.spec.ts
+++ b/packages/core/src/stall/stallWatch.spec.ts
@@ -3,7 +3,7 @@
 import { StallWatch } from './stallWatch.js';
 import type { Stall } from './stallWatch.js';
 
-/** A clock whose time moves without its timers, as it does for a process that stands still. */
+/** A clock whose time can advance without its timers, as in a stalled process. */
 class StallingClock extends ManualClock {
   private skippedMs = 0;
   private jumpedMs = 0;
@@ -16,11 +16,11 @@
     return new Date(super.now().getTime() + this.skippedMs + this.jumpedMs);
   }
 
-  standStill(ms: number): void {
+  stall(ms: number): void {
     this.skippedMs += ms;
   }
 
-  /** The machine is suspended, and its monotonic clock with it. */
+  /** Suspends the machine, which stops its monotonic clock. */
   suspend(ms: number): void {
     this.jumpedMs += ms;
   }
@@ -30,21 +30,21 @@
   for (let turn = 0; turn < count; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 };
 
-describe('a watch over the event loop', () => {
+describe('StallWatch', () => {
   let clock: StallingClock;
   let stalls: Stall[];
   /** Processor time of the process, milliseconds. */
-  let used: number;
+  let processorMs: number;
   let watch: StallWatch;
 
   beforeEach(() => {
     clock = new StallingClock();
     stalls = [];
-    used = 0;
+    processorMs = 0;
     watch = new StallWatch(
       clock,
       (stall) => stalls.push(stall),
-      () => used,
+      () => processorMs,
     );
     watch.start();
   });
@@ -53,34 +53,34 @@
     watch.stop();
   });
 
-  it('sees nothing while its looks come in time', async () => {
+  it('reports no stall while its checks are on time', async () => {
     await clock.advance(1_000);
     expect(watch.current()).toBeUndefined();
     expect(watch.readSince()).toBe(1_000);
     expect(stalls).toEqual([]);
   });
 
-  it('knows of a stall before its next look, and since when it may be', async () => {
+  it('detects a stall before its next check, and its earliest start', async () => {
     await clock.advance(500);
-    clock.standStill(2_000);
-    used = 300;
+    clock.stall(2_000);
+    processorMs = 300;
     expect(watch.current()).toBeDefined();
     expect(watch.readSince()).toBe(500);
     expect(stalls).toEqual([{ from: 500, ms: 1_900, usedMs: 300 }]);
   });
 
-  it('is caught up some turns later', async () => {
-    clock.standStill(2_000);
+  it('has caught up some turns later', async () => {
+    clock.stall(2_000);
     await watch.caughtUp();
     await turns(2);
     expect(watch.current()).toBeUndefined();
     expect(watch.readSince()).toBe(2_000);
   });
 
-  it('goes on reading while connections are taken', async () => {
-    clock.standStill(2_000);
+  it('has not caught up while connections are accepted', async () => {
+    clock.stall(2_000);
     expect(watch.current()).toBeDefined();
-    for (let taken = 0; taken < 50; taken += 1) {
+    for (let accepted = 0; accepted < 50; accepted += 1) {
       watch.noteConnection();
       await turns(1);
     }
@@ -89,7 +89,7 @@
     expect(watch.readSince()).toBe(2_000);
   });
 
-  it('sees a stall in which the monotonic clock stood still too', async () => {
+  it('detects a stall in which the monotonic clock stopped too', async () => {
     await clock.advance(500);
     clock.suspend(3_000);
     expect(watch.current()).toBeDefined();
@@ -99,10 +99,10 @@
   });
 
   it('reports each stall once', async () => {
-    clock.standStill(400);
+    clock.stall(400);
     watch.current();
     await clock.advance(200);
-    clock.standStill(400);
+    clock.stall(400);
     await clock.advance(200);
     expect(stalls).toHaveLength(2);
   });
--- a/packages/core/src/stall/stallWatch.ts
+++ b/packages/core/src/stall/stallWatch.ts
@@ -1,129 +1,129 @@
-/** Tells when the event loop of a process stood still, and when it has read what came meanwhile. */
+/** Detects stalls of a process's event loop, and when the input that arrived during a stall has been read. */
 import type { Clock } from '../clock/index.js';
 
-/** Pause between two looks at the clock, milliseconds. */
-const LOOK_MS = 100;
+/** Interval between two checks of the clock, milliseconds. */
+const CHECK_INTERVAL_MS = 100;
 
-/** A look that comes so much too late tells of a stall, milliseconds. */
-const LEAST_STALL_MS = 100;
+/** Delay of a check from which it counts as a stall, milliseconds. */
+const MIN_STALL_MS = 100;
 
 /**
- * Turns of the event loop from the reading of a request to the moment at which it is known whether its sender has closed the
- * connection meanwhile: the end is read one turn later, and the runtime tells of it in the two that follow.
+ * Turns of the event loop between reading a request and knowing whether its sender has closed the connection meanwhile: the
+ * end of the connection is read one turn later, and the runtime reports it in the two turns after that.
  */
 const CATCH_UP_TURNS = 4;
 
-/** Most turns until all connections are taken that wait: more than the system lets wait. */
-const MOST_TURNS = 1_024;
+/** Most turns until all pending connections are accepted: more than the system's backlog holds. */
+const MAX_TURNS = 1_024;
 
-/** A time in which a process did nothing. */
+/** A period in which the event loop did not run. */
 export interface Stall {
-  /** Monotonic time at which the process was last seen at work. */
+  /** Monotonic time of the last check before the stall. */
   readonly from: number;
   readonly ms: number;
-  /** Processor time that the process used since then, milliseconds: much less than it lasted when others had the processor. */
+  /** Processor time that the process used since then, milliseconds: much less than `ms` if others had the processor. */
   readonly usedMs: number;
 }
 
 const US_PER_MS = 1_000;
 
 /** Processor time of this process since its start, milliseconds. */
-function ownProcessorMs(): number {
+function processorTimeMs(): number {
   const { user, system } = process.cpuUsage();
   return (user + system) / US_PER_MS;
 }
 
-const turn = (): Promise<void> =>
+const nextTurn = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
 
 /**
- * Watches the event loop of a process. After a stall the first turns act on what was true before it: connections that were
- * closed meanwhile still look open. Whoever starts something for somebody else waits for `caughtUp` before.
+ * Watches the event loop of a process. After a stall, the first turns work with outdated state: connections that were closed
+ * during the stall still look open. Code that starts work for a client therefore waits until all of it is read.
  */
 export class StallWatch {
-  private lookedAt: number;
-  /** Wall-clock time of the last look: while a machine is suspended the monotonic clock may stand still. */
-  private wallAt: number;
-  /** Processor time at the last look, milliseconds. */
-  private usedAt: number;
+  private lastCheckAt: number;
+  /** Wall-clock time of the last check; needed because the monotonic clock may stop while a machine is suspended. */
+  private lastWallTime: number;
+  /** Processor time at the last check, milliseconds. */
+  private lastProcessorMs: number;
   private stall: Stall | undefined;
-  /** Where what is read now may have come since; kept while the stall lasts. */
+  /** Earliest arrival time of input that is read now; kept until all input of the stall is read. */
   private from = 0;
-  /** Turns in a row in which no connection was taken. */
-  private quietTurns = 0;
-  private callOff = (): void => undefined;
+  /** Consecutive turns in which no connection was accepted. */
+  private turnsWithoutConnection = 0;
+  private cancelTimer = (): void => undefined;
 
   constructor(
     private readonly clock: Clock,
     private readonly onStall: (stall: Stall) => void = () => undefined,
-    private readonly processorMs: () => number = ownProcessorMs,
+    private readonly processorMs: () => number = processorTimeMs,
   ) {
-    this.lookedAt = clock.monotonic();
-    this.wallAt = clock.now().getTime();
-    this.usedAt = processorMs();
+    this.lastCheckAt = clock.monotonic();
+    this.lastWallTime = clock.now().getTime();
+    this.lastProcessorMs = processorMs();
   }
 
-  /** Looks at the clock regularly until `stop`. */
+  /** Checks the clock regularly until `stop`. */
   start(): void {
-    this.look();
-    this.callOff = this.clock.after(LOOK_MS, () => {
+    this.check();
+    this.cancelTimer = this.clock.after(CHECK_INTERVAL_MS, () => {
       this.start();
     });
   }
 
   stop(): void {
-    this.callOff();
+    this.cancelTimer();
   }
 
-  /** The last stall, until all is read that came while it lasted. */
+  /** The last stall, until all input that arrived during it has been read; then undefined. */
   current(): Stall | undefined {
-    this.look();
+    this.check();
     return this.stall;
   }
 
-  /** After a stall, resolves once it is known which connections were closed of those that are read by now; else at once. */
+  /** After a stall, resolves once closed connections are known for all requests read so far; otherwise at once. */
   async caughtUp(): Promise<void> {
     if (this.current() === undefined) return;
-    for (let turns = 0; turns < CATCH_UP_TURNS; turns += 1) await turn();
+    for (let turns = 0; turns < CATCH_UP_TURNS; turns += 1) await nextTurn();
   }
 
-  /** Monotonic time before which nothing came that is read now. */
+  /** Monotonic time of the earliest possible arrival of input that is read now. */
   readSince(): number {
     return this.current() === undefined ? this.clock.monotonic() : this.from;
   }
 
-  /** A connection was taken. The system hands over one in each turn, so after a stall others may wait. */
+  /** Records an accepted connection. The system hands over one in each turn, so after a stall more may be pending. */
   noteConnection(): void {
-    this.quietTurns = 0;
+    this.turnsWithoutConnection = 0;
   }
 
-  private look(): void {
+  private check(): void {
     const now = this.clock.monotonic();
-    const wall = this.clock.now().getTime();
-    const from = this.lookedAt;
-    const used = this.processorMs();
-    const usedMs = used - this.usedAt;
-    this.usedAt = used;
-    const ms = Math.max(now - from, wall - this.wallAt) - LOOK_MS;
-    this.lookedAt = now;
-    this.wallAt = wall;
-    if (ms < LEAST_STALL_MS) return;
+    const wallTime = this.clock.now().getTime();
+    const from = this.lastCheckAt;
+    const processorMs = this.processorMs();
+    const usedMs = processorMs - this.lastProcessorMs;
+    this.lastProcessorMs = processorMs;
+    const ms = Math.max(now - from, wallTime - this.lastWallTime) - CHECK_INTERVAL_MS;
+    this.lastCheckAt = now;
+    this.lastWallTime = wallTime;
+    if (ms < MIN_STALL_MS) return;
     const isFirst = this.stall === undefined;
     this.stall = { from, ms, usedMs };
-    this.quietTurns = 0;
+    this.turnsWithoutConnection = 0;
     if (isFirst) {
       this.from = from;
-      void this.readAll();
+      void this.readPending();
     }
     this.onStall(this.stall);
   }
 
-  private async readAll(): Promise<void> {
-    for (let turns = 0; this.quietTurns < CATCH_UP_TURNS && turns < MOST_TURNS; turns += 1) {
-      this.quietTurns += 1;
-      await turn();
+  private async readPending(): Promise<void> {
+    for (let turns = 0; this.turnsWithoutConnection < CATCH_UP_TURNS && turns < MAX_TURNS; turns += 1) {
+      this.turnsWithoutConnection += 1;
+      await nextTurn();
     }
     this.stall = undefined;
   }
--- a/packages/core/src/task/index.ts
+++ b/packages/core/src/task/index.ts
@@ -1,2 +1,2 @@
-/** Tasks that last as long as their process. */
+/** Tasks that must run as long as their process. */
 export * from './lastingTask.js';
--- a/packages/core/src/task/lastingTask.spec.ts
+++ b/packages/core/src/task/lastingTask.spec.ts
@@ -1,7 +1,7 @@
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { TaskError, runLasting } from './lastingTask.js';
 
-describe('a task that lasts as long as its process', () => {
+describe('a task that must run as long as its process', () => {
   const unhandled: unknown[] = [];
   const note = (reason: unknown): void => {
     unhandled.push(reason);
@@ -20,8 +20,8 @@
     for (const other of others) process.on('unhandledRejection', other);
   });
 
-  // A process goes on without a task that it needs, and nothing tells the daemon.
-  it('tells the process when it fails', async () => {
+  // Guards against a process that continues without a task that it needs, because the daemon does not notice the failure.
+  it('raises an unhandled TaskError when it fails', async () => {
     const cause = new Error('a bug');
     runLasting('watch', Promise.reject(cause));
     await expect.poll(() => unhandled).toHaveLength(1);
@@ -30,7 +30,7 @@
     expect(error).toMatchObject({ task: 'watch', cause, message: 'the task "watch" failed: Error: a bug' });
   });
 
-  it('tells nothing when it ends', async () => {
+  it('raises nothing when it completes', async () => {
     runLasting('watch', Promise.resolve());
     await new Promise((resolve) => setImmediate(resolve));
     expect(unhandled).toEqual([]);
--- a/packages/core/src/task/lastingTask.ts
+++ b/packages/core/src/task/lastingTask.ts
@@ -1,6 +1,6 @@
-/** Tasks without which a process must not go on. */
+/** Tasks whose failure must stop the process. */
 
-/** An error that ended a task which has to last as long as its process. */
+/** The failure of a task that must run as long as its process. */
 export class TaskError extends Error {
   override readonly name = 'TaskError';
 
@@ -13,14 +13,14 @@
 }
 
 /**
- * Tells that a task has failed that lasts as long as its process. The process would look well and do only a part of its work,
- * so the error is left unhandled: the daemon stops on an unhandled `TaskError`.
+ * Reports the failure of a task that must run as long as its process. Without the task the process would look healthy and do
+ * only part of its work, so the error is left unhandled: the daemon stops on an unhandled `TaskError`.
  */
 export function failTask(task: string, cause: unknown): void {
   void Promise.reject(new TaskError(task, cause));
 }
 
-/** Keeps watch over a task that lasts as long as its process. */
+/** Stops the process when a task that must run as long as the process fails. */
 export function runLasting(task: string, running: Promise<unknown>): void {
   running.catch((error: unknown) => {
     failTask(task, error);
--- a/packages/core/src/trace/setup.ts
+++ b/packages/core/src/trace/setup.ts
@@ -1,6 +1,6 @@
-/** Loads the tracing libraries only where a collector is set: they cost about 20 MB. */
+/** Loads the tracing libraries only if a collector is configured: they take about 20 MB. */
 
-/** Ends tracing: sends what is buffered. */
+/** Flushes buffered spans and stops tracing. */
 export type Shutdown = () => Promise<void>;
 
 /** Sends spans to an OTLP/HTTP collector. */
--- a/packages/core/src/trace/trace.ts
+++ b/packages/core/src/trace/trace.ts
@@ -1,13 +1,13 @@
-/** Traces: a span for each hop, W3C context between processes. */
+/** Tracing: one span per hop, and W3C trace context between processes. */
 import { SpanKind, SpanStatusCode, context, propagation, trace } from '@opentelemetry/api';
 import type { Context, Span } from '@opentelemetry/api';
 
-/** Trace context in headers. */
+/** Trace context as headers. */
 export type Carrier = Record<string, string>;
 
 const tracer = () => trace.getTracer('jasmineroute');
 
-/** Kind of hop that a span stands for. */
+/** Kind of hop that a span represents. */
 export type Hop = 'server' | 'client' | 'internal';
 
 const spanKinds: Record<Hop, SpanKind> = {
@@ -39,7 +39,7 @@
   hop.span.end();
 }
 
-/** Headers that carry a span's context to the next process. */
+/** Headers that propagate a span's context to the next process. */
 export function carrierOf(hop: HopSpan): Carrier {
   const carrier: Carrier = {};
   propagation.inject(hop.context, carrier);
