--- a/packages/core/src/task/lastingTask.spec.ts
+++ b/packages/core/src/task/criticalTask.spec.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
-import { TaskError, runLasting } from './lastingTask.js';
+import { TaskError, runLasting } from './criticalTask.js';
 
 describe('a task that must run as long as its process', () => {
   const unhandled: unknown[] = [];
--- a/packages/core/src/task/index.ts
+++ b/packages/core/src/task/index.ts
@@ -1,2 +1,2 @@
 /** Tasks that must run as long as their process. */
-export * from './lastingTask.js';
+export * from './criticalTask.js';
