--- a/packages/protocol/src/check/index.ts
+++ b/packages/protocol/src/check/index.ts
@@ -1,2 +1,2 @@
-/** Checks of requests between processes, where they come in. */
+/** Validation of incoming requests between processes. */
 export * from './requiredFields.js';
--- a/packages/protocol/src/check/requiredFields.spec.ts
+++ b/packages/protocol/src/check/requiredFields.spec.ts
@@ -6,13 +6,13 @@
 import { Gate } from '../gen/jasmineroute/gate_pb.js';
 import { Peers, faultOf, listen } from '../transport/index.js';
 import type { RpcServer } from '../transport/index.js';
-import { lackingField } from './requiredFields.js';
+import { missingField } from './requiredFields.js';
 
 const { Claims, Configurations, Directory, Documents, Gossip, Turns } = control;
 const services = [Claims, Configurations, Directory, Documents, Gossip, Turns, Gate];
 
-/** Methods for which the empty request is a whole one, or is answered as rejected by the service itself. */
-const takesEmpty = new Set([
+/** Methods for which the empty request is valid, or is rejected by the service itself. */
+const acceptsEmpty = new Set([
   'Documents.Get',
   'Documents.Status',
   'Documents.Apply',
@@ -21,8 +21,8 @@
   'Configurations.Report',
 ]);
 
-const lacking = <D extends DescMessage>(schema: D, init: MessageInitShape<D>): string | undefined =>
-  lackingField(schema, create(schema, init));
+const missingIn = <D extends DescMessage>(schema: D, init: MessageInitShape<D>): string | undefined =>
+  missingField(schema, create(schema, init));
 
 describe('requests between processes', () => {
   let server: RpcServer | undefined;
@@ -32,30 +32,32 @@
     server = undefined;
   });
 
-  // An empty request of a method that acts is acted on.
-  it('are not taken when they are empty, but where that says something', () => {
+  // Guards against acting on an empty request of a method that changes something.
+  it('are rejected when empty, unless an empty request is valid', () => {
     const methods = services.flatMap((service) => service.methods);
-    const taken = methods.filter(({ input }) => lackingField(input, create(input) as Message) === undefined);
-    expect(new Set(taken.map(({ name, parent }) => `${parent.name}.${name}`))).toEqual(takesEmpty);
+    const accepted = methods.filter(
+      ({ input }) => missingField(input, create(input) as Message) === undefined,
+    );
+    expect(new Set(accepted.map(({ name, parent }) => `${parent.name}.${name}`))).toEqual(acceptsEmpty);
   });
 
   it.each(['', 'nowhere', '10.0.0.1', '10.0.0.1:', ':7000', 'a b:7000'])(
-    'name an address that can be called: %s',
+    'must contain a valid address: %s',
     (address) => {
-      expect(lacking(control.EnlistRequestSchema, { name: 'a', address })).toBe('EnlistRequest.address');
-      expect(lacking(control.EnlistRequestSchema, { name: 'a', address: '10.0.0.1:7000' })).toBeUndefined();
+      expect(missingIn(control.EnlistRequestSchema, { name: 'a', address })).toBe('EnlistRequest.address');
+      expect(missingIn(control.EnlistRequestSchema, { name: 'a', address: '10.0.0.1:7000' })).toBeUndefined();
     },
   );
 
-  it('are not taken when a message inside lacks something', () => {
+  it('are rejected when a nested message lacks a field', () => {
     const whole = { from: 'a', heard: [{ instance: { name: 'b' } }] };
-    expect(lacking(control.ExchangeRequestSchema, whole)).toBeUndefined();
-    const nameless = { from: 'a', heard: [{ instance: { name: 'b' } }, { instance: {} }] };
-    expect(lacking(control.ExchangeRequestSchema, nameless)).toBe('Instance.name');
+    expect(missingIn(control.ExchangeRequestSchema, whole)).toBeUndefined();
+    const withoutName = { from: 'a', heard: [{ instance: { name: 'b' } }, { instance: {} }] };
+    expect(missingIn(control.ExchangeRequestSchema, withoutName)).toBe('Instance.name');
   });
 
-  // A request that says nothing reaches the code that acts on it.
-  it('are refused before they are handled, also in a stream', async () => {
+  // Guards against a request with missing fields that reaches its handler.
+  it('are rejected before they are handled, also in a stream', async () => {
     const reports: control.ReportRequest[] = [];
     let turns = 0;
     server = await listen('127.0.0.1', 0, (router) => {
@@ -75,12 +77,12 @@
     const peers = new Peers();
     const transport = peers.transport(server.address);
     const call = createClient(Turns, transport).take({ name: 'a' });
-    const refused = {
+    const rejection = {
       kind: 'invalid-request',
       ran: 'not-run',
       message: "TakeRequest.holder is missing or can't be used",
     };
-    expect(faultOf(await call.catch((error: unknown) => error))).toMatchObject(refused);
+    expect(faultOf(await call.catch((error: unknown) => error))).toMatchObject(rejection);
     const load = (targetId: string) =>
       create(control.ReportRequestSchema, { report: { case: 'load', value: { targetId } } });
     async function* sent(): AsyncGenerator<control.ReportRequest> {
--- a/packages/protocol/src/check/requiredFields.ts
+++ b/packages/protocol/src/check/requiredFields.ts
@@ -1,4 +1,4 @@
-/** Fields without which a request says nothing. One that lacks them is refused before anything acts on it. */
+/** Required fields of requests. A request that lacks one is rejected before it is handled. */
 import type { DescField, DescMessage, Message, MessageShape } from '@bufbuild/protobuf';
 import type { Interceptor } from '@connectrpc/connect';
 import { fault } from '@jasmineroute/core';
@@ -6,21 +6,21 @@
 import * as gate from '../gen/jasmineroute/gate_pb.js';
 import { errorOf } from '../transport/faultError.js';
 
-/** Whether a field's value can be used. */
+/** Whether a field's value is valid. */
 type Check = (value: unknown) => boolean;
 
-/** Checks by field. */
+/** Checks by field name. */
 type Checks = ReadonlyMap<string, Check>;
 
-/** Zero, the empty text and the empty list stand for a field that was not sent. */
-const isFilled: Check = (value) => {
+/** Zero, an empty string and an empty list mean that the field was not sent. */
+const isPresent: Check = (value) => {
   if (typeof value === 'string' || Array.isArray(value)) return value.length > 0;
   return value !== undefined && value !== 0 && value !== 0n;
 };
 
 const isHostPort: Check = (value) => typeof value === 'string' && /^[^\s:]+:\d{1,5}$/.test(value);
 
-function row<D extends DescMessage>(
+function checksOf<D extends DescMessage>(
   schema: D,
   checks: Partial<Record<keyof MessageShape<D> & string, Check>>,
 ): [string, Checks] {
@@ -29,66 +29,79 @@
 
 const isCheck = (entry: [string, Check | undefined]): entry is [string, Check] => entry[1] !== undefined;
 
-/** By type of message, wherever in a request it stands. */
-const required = new Map<string, Checks>([
-  row(control.HistoryRequestSchema, { service: isFilled }),
-  row(control.InstanceSchema, { name: isFilled }),
-  row(control.BeatRequestSchema, { instance: isFilled }),
-  row(control.ExchangeRequestSchema, { from: isFilled }),
-  row(control.HeardSchema, { instance: isFilled }),
-  row(control.ClaimRequestSchema, { key: isFilled, attemptId: isFilled, windowMs: isFilled }),
-  row(control.SettleRequestSchema, { key: isFilled, attemptId: isFilled, settlement: isFilled }),
-  row(control.TakeRequestSchema, { name: isFilled, holder: isFilled, limit: isFilled, ttlMs: isFilled }),
-  row(control.ReleaseRequestSchema, { name: isFilled, holder: isFilled }),
-  row(control.EnlistRequestSchema, { name: isFilled, address: isHostPort }),
-  row(control.ObserveRequestSchema, { targetId: isFilled }),
-  row(control.AnnouncedTargetSchema, { name: isFilled, service: isFilled, address: isFilled }),
-  row(control.NamedWeightsSchema, { model: isFilled }),
-  row(control.TargetLoadSchema, { targetId: isFilled }),
-  row(control.EntryWorkSchema, { entry: isFilled }),
-  row(control.TargetCacheSchema, { address: isFilled }),
-  row(gate.RunRequestSchema, { requestId: isFilled, attemptId: isFilled }),
-  row(gate.ResumeRequestSchema, { attemptId: isFilled }),
-  row(gate.CancelRequestSchema, { attemptId: isFilled }),
-  row(gate.ProbeRequestSchema, { model: isFilled }),
+/** Required fields by message type, at any depth of a request. */
+const requiredFields = new Map<string, Checks>([
+  checksOf(control.HistoryRequestSchema, { service: isPresent }),
+  checksOf(control.InstanceSchema, { name: isPresent }),
+  checksOf(control.BeatRequestSchema, { instance: isPresent }),
+  checksOf(control.ExchangeRequestSchema, { from: isPresent }),
+  checksOf(control.HeardSchema, { instance: isPresent }),
+  checksOf(control.ClaimRequestSchema, { key: isPresent, attemptId: isPresent, windowMs: isPresent }),
+  checksOf(control.SettleRequestSchema, {
+    key: isPresent,
+    attemptId: isPresent,
+    settlement: isPresent,
+  }),
+  checksOf(control.TakeRequestSchema, {
+    name: isPresent,
+    holder: isPresent,
+    limit: isPresent,
+    ttlMs: isPresent,
+  }),
+  checksOf(control.ReleaseRequestSchema, { name: isPresent, holder: isPresent }),
+  checksOf(control.EnlistRequestSchema, { name: isPresent, address: isHostPort }),
+  checksOf(control.ObserveRequestSchema, { targetId: isPresent }),
+  checksOf(control.AnnouncedTargetSchema, {
+    name: isPresent,
+    service: isPresent,
+    address: isPresent,
+  }),
+  checksOf(control.NamedWeightsSchema, { model: isPresent }),
+  checksOf(control.TargetLoadSchema, { targetId: isPresent }),
+  checksOf(control.EntryWorkSchema, { entry: isPresent }),
+  checksOf(control.TargetCacheSchema, { address: isPresent }),
+  checksOf(gate.RunRequestSchema, { requestId: isPresent, attemptId: isPresent }),
+  checksOf(gate.ResumeRequestSchema, { attemptId: isPresent }),
+  checksOf(gate.CancelRequestSchema, { attemptId: isPresent }),
+  checksOf(gate.ProbeRequestSchema, { model: isPresent }),
 ]);
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** A field's value; one of a choice stands in the choice. */
-function valueOf(fields: Fields, { localName, oneof }: DescField): unknown {
+/** A field's value. A field of a oneof is read from the oneof. */
+function fieldValue(fields: Fields, { localName, oneof }: DescField): unknown {
   if (oneof === undefined) return fields[localName];
   const chosen = fields[oneof.localName] as { readonly case?: string; readonly value?: unknown };
   return chosen.case === localName ? chosen.value : undefined;
 }
 
-/** The first field that a message, or one in it, lacks, as type and field; undefined: none. */
-export function lackingField(schema: DescMessage, message: Message): string | undefined {
+/** The first required field that is missing in a message or a message within it, as `Type.field`; undefined: none. */
+export function missingField(schema: DescMessage, message: Message): string | undefined {
   const fields = message as unknown as Fields;
-  for (const [field, isUsable] of required.get(schema.typeName) ?? []) {
-    if (!isUsable(fields[field])) return `${schema.name}.${field}`;
+  for (const [field, isValid] of requiredFields.get(schema.typeName) ?? []) {
+    if (!isValid(fields[field])) return `${schema.name}.${field}`;
   }
   for (const field of schema.fields) {
     if (field.message === undefined) continue;
-    const value = valueOf(fields, field) ?? [];
-    const lacking = lackingInside(field.message, Array.isArray(value) ? value : [value]);
-    if (lacking !== undefined) return lacking;
+    const value = fieldValue(fields, field) ?? [];
+    const missing = missingFieldInside(field.message, Array.isArray(value) ? value : [value]);
+    if (missing !== undefined) return missing;
   }
   return undefined;
 }
 
-function lackingInside(schema: DescMessage, messages: readonly Message[]): string | undefined {
+function missingFieldInside(schema: DescMessage, messages: readonly Message[]): string | undefined {
   for (const message of messages) {
-    const lacking = lackingField(schema, message);
-    if (lacking !== undefined) return lacking;
+    const missing = missingField(schema, message);
+    if (missing !== undefined) return missing;
   }
   return undefined;
 }
 
 function check(schema: DescMessage, message: Message): void {
-  const lacking = lackingField(schema, message);
-  if (lacking !== undefined)
-    throw errorOf(fault('invalid-request', `${lacking} is missing or can't be used`));
+  const missing = missingField(schema, message);
+  if (missing !== undefined)
+    throw errorOf(fault('invalid-request', `${missing} is missing or can't be used`));
 }
 
 async function* checkEach<M extends Message>(
@@ -101,7 +114,7 @@
   }
 }
 
-/** Refuses requests that lack what they can't do without; a stream of requests ends at the first one. */
+/** Rejects requests that lack a required field. A stream of requests fails at the first one. */
 export const requireFields: Interceptor = (next) => (request) => {
   const { input } = request.method;
   if (request.stream) return next({ ...request, message: checkEach(input, request.message) });
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,4 +1,4 @@
-/** Messages between the processes of the system, as generated from proto/. */
+/** Messages between the processes of the system, generated from proto/, and what their senders and receivers share. */
 export * as controlMessage from './gen/jasmineroute/control_pb.js';
 export * as gateMessage from './gen/jasmineroute/gate_pb.js';
 export * as stateMessage from './gen/jasmineroute/state_pb.js';
--- a/packages/protocol/src/part/cacheNews.ts
+++ b/packages/protocol/src/part/cacheNews.ts
@@ -1,17 +1,17 @@
-/** What a store or a target tells of its cache. */
+/** Cache events of a cache store or a target. */
 import type { StoredPart } from './partKey.js';
 import type { Unread } from './unread.js';
 
-/** What happened to a cache since the last call. */
+/** Changes of a cache since the previous call. */
 export interface CacheNews {
-  /** New for each start of the store or target. */
+  /** Differs for each start of the store or target. */
   readonly incarnation: number;
-  /** Where the next call goes on. */
+  /** Position from which the next call continues. */
   readonly next: number;
-  /** Some events before these are gone. */
+  /** Whether events before these are lost. */
   readonly hasGap: boolean;
-  /** In order; not kept: there is less of the part than before. */
+  /** Events in order. `isKept` false: blocks of the part were evicted. */
   readonly events: readonly (StoredPart & { readonly isKept: boolean })[];
-  /** Events beside these that could not be read; absent: none. */
+  /** Further events that could not be read; absent: none. */
   readonly unread?: Unread;
 }
--- a/packages/protocol/src/part/unread.ts
+++ b/packages/protocol/src/part/unread.ts
@@ -1,7 +1,7 @@
-/** What could not be read of a list that another writer may have a part in. */
+/** Unreadable entries of a list that other software may have written in part. */
 export interface Unread {
-  /** Entries that were left out. */
+  /** Number of skipped entries. */
   readonly count: number;
-  /** Why the first of them could not be read. */
+  /** Why the first one could not be read. */
   readonly problem: string;
 }
--- a/packages/protocol/src/start/targetStart.spec.ts
+++ b/packages/protocol/src/start/targetStart.spec.ts
@@ -4,12 +4,12 @@
 import { NewestStarts, compareStarts, startFields, startId, startOf } from './targetStart.js';
 
 describe('starts of a target', () => {
-  it('have ids of their own, which are the name where none is told', () => {
+  it('have unique ids, equal to the name if no time is reported', () => {
     expect(startId({ name: 'i-1' })).toBe('i-1');
     expect(new Set([startId({ name: 'i-1', born: 5 }), startId({ name: 'i-1', born: 6 })]).size).toBe(2);
   });
 
-  it('are in order of what they tell, and one that tells is newer', () => {
+  it('are ordered by their times, and one with a time is newer than one without', () => {
     const order = (one?: number, other?: number): number =>
       Math.sign(compareStarts({ name: 'i-1', born: one }, { name: 'i-1', born: other }));
     expect([order(5, 6), order(6, 5), order(5, 5), order(), order(5), order(undefined, 5)]).toEqual([
@@ -17,7 +17,7 @@
     ]);
   });
 
-  it('are remembered by the newest, in whichever order they are heard', () => {
+  it('are reduced to the newest one in any order of arrival', () => {
     const newest = new NewestStarts();
     const start = (born?: number, name = 'i-1') => ({ name, born });
     expect(newest.hear(start(6))).toEqual({ isOld: false });
@@ -32,7 +32,7 @@
     expect(newest.of('i-1')).toBeUndefined();
   });
 
-  it('come through a message as they were', () => {
+  it('are unchanged by a message', () => {
     const sent = (start: { name: string; born?: number }) =>
       startOf(create(AnnouncedTargetSchema, { id: startId(start), ...startFields(start) }));
     expect(sent({ name: 'i-1', born: 1_764_000_000_000 })).toEqual({ name: 'i-1', born: 1_764_000_000_000 });
--- a/packages/protocol/src/start/targetStart.ts
+++ b/packages/protocol/src/start/targetStart.ts
@@ -1,26 +1,26 @@
-/** Which start of a target is meant: a target may start again under the id that it had. */
+/** Identifies a start of a target: a target may restart under the same id. */
 
 import type { AnnouncedTarget } from '../gen/jasmineroute/control_pb.js';
 
-/** One start of a target. What is believed, held or counted of a target belongs to one start of it. */
+/** One start of a target. All state about a target belongs to one of its starts. */
 export interface TargetStart {
-  /** The id under which it announces itself; the same for all of its starts. */
+  /** The id under which the target announces itself; the same for all of its starts. */
   readonly name: string;
   /**
-   * Unix time of the start, milliseconds, as the target tells it; absent: it tells none. No clock: it is compared with that
-   * of another start of the same target only.
+   * Unix time of the start, milliseconds, as reported by the target; absent: not reported. It is compared only with those of
+   * other starts of the same target, never with a clock.
    */
   readonly born?: number;
 }
 
-/** Text under which a start is known inside: no two starts of any targets have the same. */
+/** Internal id of a start, unique across the starts of all targets. */
 export function startId({ name, born }: TargetStart): string {
   return born === undefined ? name : `${name}/${born}`;
 }
 
 /**
- * Order of two starts of one target: below 0 when `one` is older than `other`, 0 when they are the same start. A target
- * that tells its start is newer than the same without: it learnt to tell it by a new start.
+ * Order of two starts of one target: negative if `one` is older than `other`, 0 if they are the same start. A start with a
+ * time is newer than one without: a target begins to report its start only after a restart with newer software.
  */
 export function compareStarts(one: TargetStart, other: TargetStart): number {
   if (one.born === other.born) return 0;
@@ -29,38 +29,38 @@
   return one.born - other.born;
 }
 
-/** The start that a message tells; a sender that names none is told of under the id. */
+/** The start in a message. Without a name in the message, the id is the name. */
 export function startOf({ id, name, born }: AnnouncedTarget): TargetStart {
   return { name: name === '' ? id : name, born: born === undefined ? undefined : Number(born) };
 }
 
-/** A start as messages hold it. */
+/** The fields of a start in messages. */
 export function startFields({ name, born }: TargetStart): { name: string; born: bigint | undefined } {
   return { name, born: born === undefined ? undefined : BigInt(born) };
 }
 
-/** What hearing of a start means. */
-export interface HeardStart {
-  /** A newer one was heard of: whatever it says is late. */
+/** Result of observing a start. */
+export interface StartObservation {
+  /** Whether a newer start is known, so that messages of this one are outdated. */
   readonly isOld: boolean;
-  /** The start that was the newest until now, and is over. */
+  /** The start that was the newest before and has ended. */
   readonly ended?: TargetStart;
 }
 
 /**
- * The newest start of each target that was heard of. A call of an older start may arrive seconds late, over another way
- * than the newer one's; believed, it would bring back what is over, or take away what is alive.
+ * The newest known start of each target. A call of an older start may arrive seconds late, on another path than those of the
+ * newer one. If it were accepted, it would restore an ended target or remove a live one.
  */
 export class NewestStarts {
   private readonly starts = new Map<string, TargetStart>();
 
-  /** The newest start of a target; undefined when none was heard of. */
+  /** The newest known start of a target; undefined: none. */
   of(name: string): TargetStart | undefined {
     return this.starts.get(name);
   }
 
-  /** Takes a start that was heard of. */
-  hear(start: TargetStart): HeardStart {
+  /** Records an observed start. */
+  hear(start: TargetStart): StartObservation {
     const known = this.starts.get(start.name);
     const order = known === undefined ? 1 : compareStarts(start, known);
     if (order < 0) return { isOld: true };
@@ -68,7 +68,7 @@
     return { isOld: false, ended: order > 0 ? known : undefined };
   }
 
-  /** Forgets a start, if no newer one of the target was heard of since. */
+  /** Removes a start, unless a newer one of the target is known. */
   forget(start: TargetStart): void {
     const known = this.starts.get(start.name);
     if (known !== undefined && compareStarts(start, known) === 0) this.starts.delete(start.name);
--- a/packages/protocol/src/transport/messageLength.spec.ts
+++ b/packages/protocol/src/transport/messageLength.spec.ts
@@ -8,7 +8,7 @@
 
 const whole = toBinary(TakeResponseSchema, create(TakeResponseSchema, { granted: true, fence: 7n }));
 
-/** How an answer ends before it is whole. */
+/** Ways in which a response ends before it is complete. */
 const ends: Record<string, (stream: http2.ServerHttp2Stream) => void> = {
   ended: (stream) => stream.end(),
   cancelled: (stream) => {
@@ -20,7 +20,7 @@
   'cut with its connection': (stream) => stream.session?.destroy(),
 };
 
-describe('an answer that is cut short', () => {
+describe('a truncated response', () => {
   let server: http2.Http2Server;
   const peers = new Peers();
 
@@ -46,8 +46,8 @@
 
   const cases = Object.keys(ends).flatMap((end) => [0, 2].map((bytes) => ({ end, bytes })));
 
-  // A part of an answer is taken for a whole one.
-  it.each(cases)('is not taken when it is $end after $bytes bytes', async ({ end, bytes }) => {
+  // Guards against accepting part of a response as a complete one.
+  it.each(cases)('is rejected when it is $end after $bytes bytes', async ({ end, bytes }) => {
     const part = whole.subarray(0, bytes);
     await expect(answer(part, { 'content-length': whole.length }, end)).rejects.toThrow();
     peers.close();
@@ -55,7 +55,7 @@
     await expect(answer(part, {}, end)).rejects.toThrow();
   });
 
-  it('is taken when it is whole', async () => {
+  it('is accepted when it is complete', async () => {
     expect(await answer(whole, { 'content-length': whole.length })).toMatchObject({ fence: 7n });
   });
 });
--- a/packages/protocol/src/transport/peers.spec.ts
+++ b/packages/protocol/src/transport/peers.spec.ts
@@ -8,15 +8,14 @@
 const ROUNDS = 200;
 
 describe('Peers', () => {
-  it('outlives connections that fail after they were dropped', async () => {
-    // Symptom: a process ends with "connect ECONNRESET" at TCPConnectWrap.afterConnect.
-    // Sequence: a connection is being made to a host that resets it; it is dropped in that moment.
-    // Cause: the session has taken its listeners off when the socket's error comes.
+  it('survives connections that fail after they were dropped', async () => {
+    // Guards against a process that ends with "connect ECONNRESET" at TCPConnectWrap.afterConnect: a connection is dropped
+    // while its host resets it, and the session has removed its listeners before the socket emits the error.
     const errors: unknown[] = [];
-    const note = (error: unknown): void => {
+    const recordError = (error: unknown): void => {
       errors.push(error);
     };
-    process.on('uncaughtException', note);
+    process.on('uncaughtException', recordError);
     const server = createServer((socket) => socket.resetAndDestroy());
     await new Promise<void>((resolve) => {
       server.listen(0, '127.0.0.1', resolve);
@@ -31,7 +30,7 @@
     }
     peers.close();
     server.close();
-    process.off('uncaughtException', note);
+    process.off('uncaughtException', recordError);
     expect(errors).toEqual([]);
   });
 });
--- a/packages/protocol/src/transport/peers.ts
+++ b/packages/protocol/src/transport/peers.ts
@@ -4,20 +4,20 @@
 import tls from 'node:tls';
 import { createConnectTransport } from '@connectrpc/connect-node';
 import type { Transport } from '@connectrpc/connect';
-import { tellLength } from './messageLength.js';
+import { sendLength } from './messageLength.js';
 import { SessionManager } from './sessionManager.js';
 import type { TlsStore } from './tls.js';
 
-/** Largest message that is read. */
+/** Largest message that is accepted. */
 export const MAX_MESSAGE_BYTES = 72 * 1024 * 1024;
 
-/** An idle connection is checked before use, so that a request is not lost on one that went silent. */
+/** An idle connection is pinged before use, so that no request is sent on one that has become unresponsive. */
 const IDLE_PING_MS = 1_000;
 const PING_TIMEOUT_MS = 1_000;
 
 /**
- * What a connection is for. Each lane has a connection of its own to an address: one that is dropped, or filled by a long
- * message, holds up no other.
+ * Purpose of a connection. Each lane has its own connection to an address: when one is dropped, or busy with a long message,
+ * the others are not affected.
  */
 export type Lane = 'calls' | 'agreement';
 
@@ -26,7 +26,7 @@
   readonly session: SessionManager;
 }
 
-/** One HTTP/2 connection for each address and lane, made when first used. */
+/** Connections to peers: one HTTP/2 connection per address and lane, opened on first use. */
 export class Peers {
   private readonly lanes: Readonly<Record<Lane, Map<string, Peer>>> = {
     calls: new Map(),
@@ -35,18 +35,18 @@
 
   /**
    * @param tls key material; absent: plain text, for loopback.
-   * @param sourceAddress own IP address that connections leave from; absent: the system's choice.
+   * @param sourceAddress local IP address of the connections; absent: chosen by the system.
    */
   constructor(
     private readonly tls?: TlsStore,
     private readonly sourceAddress?: string,
   ) {
     tls?.onReload(() => {
-      this.forget();
+      this.replaceConnections();
     });
   }
 
-  /** The transport to host:port. Ask anew for each call: `drop` replaces it. */
+  /** The transport to host:port. Call this for each request: `drop` replaces the transport. */
   transport(address: string, lane: Lane = 'calls'): Transport {
     const known = this.lanes[lane].get(address);
     if (known !== undefined) return known.transport;
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Cuts the connection to an address; the next call gets a new one. For connections that went silent:
-   * something between the ends can lose track of one while new ones work, and then nothing ever closes it.
+   * Closes the connection to an address; the next call opens a new one. For unresponsive connections: a device between
+   * the peers may lose its state of a connection, which is then never closed, while new ones work.
    */
   drop(address: string, lane: Lane = 'calls'): void {
     const peer = this.lanes[lane].get(address);
@@ -66,15 +66,15 @@
     peer.session.abort();
   }
 
-  /** Cuts all connections. */
+  /** Closes all connections. */
   close(): void {
     for (const [lane, peers] of Object.entries(this.lanes)) {
       for (const address of [...peers.keys()]) this.drop(address, lane as Lane);
     }
   }
 
-  /** New calls take new connections; running ones finish on the old. */
-  private forget(): void {
+  /** New calls open new connections; calls in progress finish on the old ones. */
+  private replaceConnections(): void {
     for (const peers of Object.values(this.lanes)) peers.clear();
   }
 
@@ -89,35 +89,35 @@
         pingIdleConnection: false,
         idleConnectionTimeoutMs: 60_000,
       },
-      { createConnection: (to) => this.open(to) },
+      { createConnection: (to) => this.createSocket(to) },
     );
     const transport = createConnectTransport({
       baseUrl,
       httpVersion: '2',
       sessionManager: session,
       readMaxBytes: MAX_MESSAGE_BYTES,
-      interceptors: [tellLength],
+      interceptors: [sendLength],
     });
     return { transport, session };
   }
 
   /**
-   * The listener for errors stays for the socket's life. A connection that is dropped while it is still being made
-   * can fail afterwards, when the session has taken its own listeners off: Node would end the process then.
+   * The error listener stays for the lifetime of the socket. A connection that is dropped while it is being established
+   * can fail afterwards, when the session has removed its own listeners; Node would then end the process.
    */
-  private open(to: URL): Socket {
+  private createSocket(to: URL): Socket {
     const socket = this.connectSocket(to);
     socket.on('error', () => undefined);
     return socket;
   }
 
   private connectSocket(to: URL): Socket {
-    const place = { host: to.hostname, port: Number(to.port), localAddress: this.sourceAddress };
+    const endpoint = { host: to.hostname, port: Number(to.port), localAddress: this.sourceAddress };
     const material = this.tls?.current();
-    if (material === undefined) return net.connect(place);
-    // Names are not addresses here: the authority that signed the certificate is what counts.
+    if (material === undefined) return net.connect(endpoint);
+    // Certificates are not issued for addresses, so only the authority that signed them is checked.
     return tls.connect({
-      ...place,
+      ...endpoint,
       ...material,
       ALPNProtocols: ['h2'],
       checkServerIdentity: () => undefined,
--- a/packages/protocol/src/transport/server.spec.ts
+++ b/packages/protocol/src/transport/server.spec.ts
@@ -2,15 +2,14 @@
 import { describe, expect, it } from 'vitest';
 import { listen } from './server.js';
 
-/** What an HTTP/2 client says first. */
+/** Connection preface of an HTTP/2 client. */
 const PREFACE = Buffer.from('PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n');
 const EMPTY_SETTINGS = Buffer.from([0, 0, 0, 4, 0, 0, 0, 0, 0]);
 
-describe('the server between processes', () => {
-  it('closes although a peer that it asked to go never does', async () => {
-    // Symptom: a planned stop does not end, and the platform kills the process.
-    // Sequence: a peer's machine is gone without a word; the server asks its sessions to close, then cuts them.
-    // Cause: a session that was asked to close waits for its peer even when it is destroyed.
+describe('the RPC server', () => {
+  it('closes although a peer never closes its connection', async () => {
+    // Guards against a planned stop that does not end until the platform kills the process: a peer's machine is lost, and a
+    // session on which `close` was called waits for its peer even when it is destroyed.
     const server = await listen('127.0.0.1', 0, () => undefined);
     const [host, port] = server.address.split(':');
     const peer = connect({ host, port: Number(port), allowHalfOpen: true });
--- a/packages/protocol/src/transport/server.ts
+++ b/packages/protocol/src/transport/server.ts
@@ -1,4 +1,4 @@
-/** The listening side between processes of the system. */
+/** Server for calls between the processes of the system. */
 import http2 from 'node:http2';
 import type { AddressInfo, Socket } from 'node:net';
 import { createSecureContext } from 'node:tls';
@@ -13,22 +13,22 @@
 export interface RpcServer {
   /** host:port it listens on. */
   readonly address: string;
-  /** Takes no new connections and resolves when the open calls have ended. */
+  /** Accepts no new connections and resolves when the calls in progress have ended. */
   drain(): Promise<void>;
-  /** Cuts everything. */
+  /** Closes all connections. */
   close(): Promise<void>;
 }
 
-/** Bounds on one connection. */
+/** Most concurrent streams of a connection. */
 const MAX_STREAMS = 10_000;
 
 /**
- * Bytes that the other side may send of a message, and on a connection, before they are read. The protocol's own 64 KB make
- * each further 64 KB wait for a round trip.
+ * Flow-control window of a stream and of a connection. With the default of HTTP/2, 64 KB, each further 64 KB of a message
+ * would wait for a round trip.
  */
 const WINDOW_BYTES = 1024 * 1024;
 
-/** @throws Error when the material does not fit together. */
+/** @throws Error when the key material is invalid or does not match. */
 export function checkTls(material: TlsMaterial): void {
   createSecureContext(material);
 }
@@ -46,7 +46,7 @@
   return server;
 }
 
-/** Listens on host:port (port 0: a free one) and serves `routes`. */
+/** Listens on host:port (port 0: any free port) and serves `routes`. */
 export async function listen(
   host: string,
   port: number,
@@ -92,15 +92,15 @@
     address: `${host}:${bound.port}`,
     drain: async () => {
       const ended = closed();
-      // GOAWAY: open streams finish, the other side takes a new connection elsewhere.
+      // Sends GOAWAY: open streams finish, and the client connects to another server.
       for (const session of sessions) session.close();
       await ended;
     },
     close: async () => {
       const ended = closed();
       for (const session of sessions) session.destroy();
-      // A session that was asked to close before waits for its peer even when destroyed, and a peer that is gone
-      // without a word never closes: a planned stop would never end.
+      // After `close`, a session waits for its peer even when it is destroyed. If the peer's machine is lost, the peer never
+      // closes, and a planned stop would not end.
       for (const socket of sockets) socket.destroy();
       await ended;
     },
--- a/packages/protocol/src/transport/sessionManager.spec.ts
+++ b/packages/protocol/src/transport/sessionManager.spec.ts
@@ -5,13 +5,12 @@
 import { expect, it } from 'vitest';
 import { SessionManager } from './sessionManager.js';
 
-/** Idle time after which a connection is checked, milliseconds. */
+/** Idle time after which a connection is pinged, milliseconds. */
 const PING_MS = 50;
 
 it('survives a session that is dropped right after a GOAWAY', async () => {
-  // Symptom: a daemon exits with an uncaught error while another process of the system stops.
-  // Sequence: the other side says GOAWAY on an idle connection; the connection is dropped in the same moment.
-  // Cause: the library takes its listeners off before the session has reported its error.
+  // Guards against a daemon that exits with an uncaught error while another process stops: the server sends GOAWAY on an idle
+  // connection, which is dropped at that moment, so the library removes its listeners before the session emits its error.
   const server = createServer((_, response) => response.end());
   const sessions: ServerHttp2Session[] = [];
   server.on('session', (session) => sessions.push(session));
@@ -19,10 +18,10 @@
   await once(server, 'listening');
   const { port } = server.address() as AddressInfo;
   const errors: unknown[] = [];
-  const note = (error: unknown): void => {
+  const recordError = (error: unknown): void => {
     errors.push(error);
   };
-  process.on('uncaughtException', note);
+  process.on('uncaughtException', recordError);
   const manager = new SessionManager(`http://127.0.0.1:${port}`);
   const stream = await manager.request('GET', '/', {}, {});
   const session = stream.session;
@@ -36,12 +35,13 @@
   for (const one of sessions) one.destroy();
   await closed;
   for (let step = 0; step < 20; step += 1) await new Promise((resolve) => setImmediate(resolve));
-  process.off('uncaughtException', note);
+  process.off('uncaughtException', recordError);
   expect(errors).toEqual([]);
 });
 
-// Guards against a process that ends as another one is lost: two connections were made at once, and the failure of the forgotten one was nobody's.
-it('survives a connection that breaks while it is checked and is asked for again', async () => {
+// Guards against a process that ends when another one is lost: two connections are started, and the failure of the dropped one
+// has no listener.
+it('survives a connection that breaks during a ping and is requested again', async () => {
   const server = createServer((request, response) => {
     if (request.url === '/open') response.write('begun');
     else response.end();
@@ -53,30 +53,31 @@
   await once(server, 'listening');
   const { port } = server.address() as AddressInfo;
   const errors: unknown[] = [];
-  const note = (error: unknown): void => {
+  const recordError = (error: unknown): void => {
     errors.push(error);
   };
-  process.on('uncaughtException', note);
+  process.on('uncaughtException', recordError);
   const pings = { pingIntervalMs: PING_MS, pingTimeoutMs: 1_000 };
   const manager = new SessionManager(`http://127.0.0.1:${port}`, pings);
-  const ask = (): Promise<unknown> => manager.request('GET', '/', {}, {}).catch((error: unknown) => error);
+  const request = (): Promise<unknown> =>
+    manager.request('GET', '/', {}, {}).catch((error: unknown) => error);
   const open = await manager.request('GET', '/open', {}, {});
   await once(open, 'response');
   const again = new Promise((resolve) => {
     open.on('error', () => {
-      resolve(ask());
+      resolve(request());
     });
   });
-  // The event loop is held up, so that the connection is due to be checked when it is used next.
+  // Blocks the event loop, so that the connection is due for a ping when it is used next.
   await new Promise((resolve) => setTimeout(resolve, PING_MS / 2));
   const until = performance.now() + PING_MS;
   while (performance.now() < until);
-  const checked = ask();
+  const pinged = request();
   server.close();
   for (const socket of sockets) socket.resetAndDestroy();
-  await Promise.all([checked, again]);
+  await Promise.all([pinged, again]);
   for (let step = 0; step < 20; step += 1) await new Promise((resolve) => setImmediate(resolve));
-  process.off('uncaughtException', note);
+  process.off('uncaughtException', recordError);
   manager.abort();
   expect(errors).toEqual([]);
 });
--- a/packages/protocol/src/transport/tls.ts
+++ b/packages/protocol/src/transport/tls.ts
@@ -1,12 +1,12 @@
-/** Mutual TLS between the system's own processes. */
+/** Mutual TLS between the processes of the system. */
 import { readFile } from 'node:fs/promises';
 import { watchFile, unwatchFile } from 'node:fs';
 
-/** Files of a process's identity, PEM. */
+/** PEM files of a process's certificate, key and authority. */
 export interface TlsFiles {
   readonly certificate: string;
   readonly key: string;
-  /** Certificate authority that both sides must be signed by. */
+  /** Authority that must have signed the certificates of both sides. */
   readonly authority: string;
 }
 
@@ -17,7 +17,7 @@
   readonly ca: Buffer;
 }
 
-/** How often the files are looked at for a change. */
+/** Interval between checks of the files for changes. */
 const RELOAD_INTERVAL_MS = 1_000;
 
 /** Reads the files. */
@@ -31,8 +31,8 @@
 }
 
 /**
- * Key material that follows its files. A half-written pair is left alone until the files fit together again:
- * `check` throws on one that does not, and the last good material stays in use.
+ * Key material that is reloaded when its files change. While the files do not match, for example because only one of them
+ * has been replaced, `check` throws and the last valid material stays in use.
  */
 export class TlsStore {
   private listeners = new Set<(material: TlsMaterial) => void>();
