--- a/packages/protocol/src/part/cacheNews.ts
+++ b/packages/protocol/src/part/cacheUpdate.ts
@@ -1,6 +1,6 @@
 /** Cache events of a cache store or a target. */
 import type { StoredPart } from './partKey.js';
-import type { Unread } from './unread.js';
+import type { Unread } from './unreadable.js';
 
 /** Changes of a cache since the previous call. */
 export interface CacheNews {
--- a/packages/protocol/src/part/keptParts.spec.ts
+++ b/packages/protocol/src/part/cachedParts.spec.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { KeptParts } from './keptParts.js';
+import { KeptParts } from './cachedParts.js';
 import { partKey } from './partKey.js';
 
 const STORE = '10.0.0.9:80';
--- a/packages/protocol/src/part/keptParts.ts
+++ b/packages/protocol/src/part/cachedParts.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import { KeptChangesSchema } from '../gen/jasmineroute/control_pb.js';
 import type { KeptChanges } from '../gen/jasmineroute/control_pb.js';
-import type { CacheNews } from './cacheNews.js';
+import type { CacheNews } from './cacheUpdate.js';
 import { partKey } from './partKey.js';
 
 /** Most changes that are retained. A cache that replaces a million tokens in 10 s drops some hundred parts a second. */
--- a/packages/protocol/src/part/index.ts
+++ b/packages/protocol/src/part/index.ts
@@ -1,4 +1,4 @@
-export * from './cacheNews.js';
-export * from './keptParts.js';
+export * from './cacheUpdate.js';
+export * from './cachedParts.js';
 export * from './partKey.js';
-export * from './unread.js';
+export * from './unreadable.js';
