--- a/packages/agent/src/role/agent.ts
+++ b/packages/agent/src/role/agent.ts
@@ -1,6 +1,6 @@
 /** The agent role: connects gate, monitoring, orders and announcement of one target. */
 import type { ConnectRouter } from '@connectrpc/connect';
-import { runLasting } from '@jasmineroute/core';
+import { runCriticalTask } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import { DirectoryClient } from '@jasmineroute/directory';
 import type { Announcement, Target } from '@jasmineroute/directory';
@@ -224,7 +224,7 @@
   }
 
   private startTask(name: string, task: Promise<void>): void {
-    runLasting(name, task);
+    runCriticalTask(name, task);
     this.tasks.push(task);
   }
 
--- a/packages/control/src/follow/followSources.ts
+++ b/packages/control/src/follow/followSources.ts
@@ -1,5 +1,5 @@
 /** Sources of the streams to followers. */
-import type { KeptParts } from '@jasmineroute/protocol';
+import type { CachedParts } from '@jasmineroute/protocol';
 import type { ConfigurationState } from '../configuration/index.js';
 import type { CommandLog } from '../log/index.js';
 import type { RelayedTargets, TargetRegistry } from '../targets/index.js';
@@ -16,6 +16,6 @@
   /** Addresses of cache stores that do not answer. */
   readonly lostStores: () => readonly string[];
   /** Blocks in cache stores; undefined where no store is watched. */
-  readonly kept: KeptParts | undefined;
+  readonly kept: CachedParts | undefined;
   readonly commandLog: CommandLog;
 }
--- a/packages/control/src/follow/followerCursor.ts
+++ b/packages/control/src/follow/followerCursor.ts
@@ -1,7 +1,7 @@
 /** Tracks what one follower has received, and builds its next event. */
 import { create } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
-import type { KeptParts } from '@jasmineroute/protocol';
+import type { CachedParts } from '@jasmineroute/protocol';
 import { isCaughtUp } from '../log/index.js';
 import type { SharedUpdates } from './sharedUpdates.js';
 import type { FollowSources } from './followSources.js';
@@ -60,7 +60,7 @@
    */
   constructor(
     private readonly sources: FollowSources,
-    private readonly directCached: KeptParts,
+    private readonly directCached: CachedParts,
     private readonly request: controlMessage.FollowRequest,
     private readonly shared: SharedStream | undefined,
   ) {
@@ -117,7 +117,7 @@
       cached: changesSince(this.directCached, this.cachedPosition),
     };
     this.workPosition = work.lastSequenceNumber();
-    this.cachedPosition = this.directCached.place();
+    this.cachedPosition = this.directCached.position();
     return fields;
   }
 
--- a/packages/control/src/follow/otherControls.ts
+++ b/packages/control/src/follow/otherControls.ts
@@ -1,7 +1,7 @@
 /** Receives the reports that other control instances relay. */
 import type { Clock } from '@jasmineroute/core';
 import type { Listener } from '@jasmineroute/knowledge';
-import { KeptParts } from '@jasmineroute/protocol';
+import { CachedParts } from '@jasmineroute/protocol';
 import type { controlMessage } from '@jasmineroute/protocol';
 import type { RecentReports } from '../recent/index.js';
 import type { RelayedTargets } from '../targets/index.js';
@@ -27,7 +27,7 @@
 /** Follows the other control instances; each sends the reports that it received directly. */
 export class OtherControls implements Listener {
   /** Cached blocks of targets, by the address of the instance that relays them or, for direct reports, of the target. */
-  readonly cached = new KeptParts();
+  readonly cached = new CachedParts();
   private readonly entryCounts = new Map<string, number>();
   private readonly pendingRemovals = new Map<string, () => void>();
   private readonly listeners = new Set<() => void>();
@@ -57,7 +57,7 @@
     for (const load of event.loads) loads.take(load.targetId, load, false);
     for (const report of event.work) work.take(report.entry, report, false);
     if (event.cached === undefined) return;
-    this.cached.apply(control, event.cached);
+    this.cached.applyChanges(control, event.cached);
     for (const listener of this.listeners) listener();
   }
 
@@ -68,7 +68,7 @@
     const cancel = clock.after(LOST_RETENTION_MS, () => {
       this.pendingRemovals.delete(control);
       this.entryCounts.delete(control);
-      this.cached.forget(control);
+      this.cached.removeAll(control);
     });
     this.pendingRemovals.set(control, cancel);
   }
--- a/packages/control/src/follow/reportReceiver.ts
+++ b/packages/control/src/follow/reportReceiver.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import type { HandlerContext } from '@connectrpc/connect';
 import type { Clock, Log } from '@jasmineroute/core';
-import { KeptParts, controlMessage } from '@jasmineroute/protocol';
+import { CachedParts, controlMessage } from '@jasmineroute/protocol';
 import { match } from 'ts-pattern';
 import { controlEvents } from '../events.js';
 import type { RecentReports } from '../recent/index.js';
@@ -28,14 +28,14 @@
 /** Receives report streams. */
 export class ReportReceiver {
   /** Cached blocks of targets, as the processes beside them report them here. */
-  readonly cached = new KeptParts();
+  readonly cached = new CachedParts();
   private readonly cacheExpiries = new Map<string, () => void>();
   private readonly listeners = new Set<() => void>();
 
   /** @param allCached cached blocks reported to any instance; the reports received here are added to it. */
   constructor(
     private readonly sinks: ReportSinks,
-    private readonly allCached: KeptParts,
+    private readonly allCached: CachedParts,
   ) {}
 
   /** Calls back after changes of caches. @returns a function that unsubscribes. */
@@ -92,21 +92,21 @@
     const cancel = this.sinks.clock.after(CACHE_REPORT_LIFETIME_MS, () => {
       this.cacheExpiries.delete(address);
       this.updateCached((cached) => {
-        cached.forget(address);
+        cached.removeAll(address);
       });
     });
     this.cacheExpiries.set(address, cancel);
     if (changes === undefined) return;
     this.updateCached((cached) => {
-      cached.apply(address, changes);
+      cached.applyChanges(address, changes);
     });
   }
 
-  private updateCached(change: (cached: KeptParts) => void): void {
-    const place = this.cached.place();
+  private updateCached(change: (cached: CachedParts) => void): void {
+    const place = this.cached.position();
     change(this.cached);
     change(this.allCached);
-    if (this.cached.place() === place) return;
+    if (this.cached.position() === place) return;
     for (const listener of this.listeners) listener();
   }
 }
--- a/packages/control/src/follow/sharedFields.ts
+++ b/packages/control/src/follow/sharedFields.ts
@@ -1,7 +1,7 @@
 /** Collects the event fields that are the same for all followers of a kind. */
 import { create } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
-import type { KeptParts } from '@jasmineroute/protocol';
+import type { CachedParts } from '@jasmineroute/protocol';
 import type { UpdateSource, SharedFields } from './sharedUpdates.js';
 import type { FollowSources } from './followSources.js';
 
@@ -78,8 +78,8 @@
       kept: kept === undefined ? undefined : changesSince(kept, this.keptPosition),
     };
     this.loadPosition = loads.lastSequenceNumber();
-    this.cachedPosition = others.cached.place();
-    this.keptPosition = kept?.place() ?? 0;
+    this.cachedPosition = others.cached.position();
+    this.keptPosition = kept?.position() ?? 0;
     return fields;
   }
 
@@ -101,6 +101,6 @@
 }
 
 /** Changes of cached blocks after a position. */
-export function changesSince(parts: KeptParts, position: number): controlMessage.KeptChanges | undefined {
-  return parts.place() === position ? undefined : parts.since(position);
+export function changesSince(parts: CachedParts, position: number): controlMessage.KeptChanges | undefined {
+  return parts.position() === position ? undefined : parts.changesSince(position);
 }
--- a/packages/control/src/role/control.ts
+++ b/packages/control/src/role/control.ts
@@ -1,13 +1,13 @@
 /** The control role: documents, claims and turns on the replicated log, the streams to followers, and the directory. */
 import type { ConnectRouter } from '@connectrpc/connect';
 import { create } from '@bufbuild/protobuf';
-import { ProblemTally, runLasting } from '@jasmineroute/core';
+import { ProblemTally, runCriticalTask } from '@jasmineroute/core';
 import { serveDirectory } from '@jasmineroute/directory';
 import type { InstanceMessage, Membership } from '@jasmineroute/directory';
 import { Follower } from '@jasmineroute/knowledge';
 import type { RemoteOrders } from '@jasmineroute/rollout';
 import { controlMessage } from '@jasmineroute/protocol';
-import type { Readiness, RoleContext, RoleProcess, Unread } from '@jasmineroute/protocol';
+import type { Readiness, RoleContext, RoleProcess, UnreadableEntries } from '@jasmineroute/protocol';
 import { ClaimService } from '../claims/index.js';
 import { ConfigurationService } from '../configuration/index.js';
 import { DocumentService, DocumentView } from '../documents/index.js';
@@ -165,16 +165,16 @@
   async start(address: string): Promise<void> {
     await this.commandLog.start(address);
     if (this.settings.gossip) this.members.start(() => this.ownInstance(address));
-    runLasting('targets', this.targets.run());
+    runCriticalTask('targets', this.targets.run());
     this.stores?.start();
     if (this.commandLog instanceof DisklessLog) this.startReferral(address);
     if (this.settings.enlists) {
-      runLasting('voter requests', this.requestVoterRole(address));
+      runCriticalTask('voter requests', this.requestVoterRole(address));
       this.followOtherControls(address);
       if (this.outside.orders !== undefined) this.startWeightUpdater(this.outside.orders);
     }
-    runLasting('log time', this.logTimeAdvancer.run());
-    runLasting('replica reconciliation', this.replicaReconciler.run());
+    runCriticalTask('log time', this.logTimeAdvancer.run());
+    runCriticalTask('replica reconciliation', this.replicaReconciler.run());
     this.context.log.event(controlEvents.started, { address });
   }
 
@@ -194,8 +194,8 @@
   }
 
   /** Counts and logs calls, or parts of calls, that can't be read; `source` is the target that the caller claims to be. */
-  unreadable(source: string, { problem, count }: Unread): void {
-    this.unreadableCalls.note(source, problem, count);
+  unreadable(source: string, { problem, count }: UnreadableEntries): void {
+    this.unreadableCalls.record(source, problem, count);
     this.context.metrics.count(controlMetrics.unreadableCalls, count);
   }
 
--- a/packages/control/src/role/createControl.ts
+++ b/packages/control/src/role/createControl.ts
@@ -2,7 +2,7 @@
 import { join } from 'node:path';
 import { ReplicatedLog, fileDisk, withoutLock } from '@jasmineroute/coordination';
 import type { Disk } from '@jasmineroute/coordination';
-import { failTask, fault } from '@jasmineroute/core';
+import { failCriticalTask, fault } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import type { RoleContext } from '@jasmineroute/protocol';
 import { err, ok } from 'neverthrow';
@@ -57,7 +57,7 @@
     disk: settings.exclusiveFolder ? disk : withoutLock(disk),
     lossesToBear: settings.lossesToBear,
     onFailure: (error) => {
-      failTask('replica', error);
+      failCriticalTask('replica', error);
     },
     ...SNAPSHOT_INTERVAL,
   });
--- a/packages/control/src/stores/storeMonitor.spec.ts
+++ b/packages/control/src/stores/storeMonitor.spec.ts
@@ -1,6 +1,6 @@
 import { ManualClock, silentLog } from '@jasmineroute/core';
 import { partKey } from '@jasmineroute/protocol';
-import type { CacheNews } from '@jasmineroute/protocol';
+import type { CacheUpdate } from '@jasmineroute/protocol';
 import { describe, expect, it } from 'vitest';
 import { ConfigurationState } from '../configuration/index.js';
 import { applyOne } from '../fixture/index.js';
@@ -56,9 +56,9 @@
     const part = (id: string, isKept: boolean) => ({ salt: 's', model: 'm', part: id, isKept });
     const none = { incarnation: 1, next: 2, hasGap: false, events: [] };
     const calls: number[] = [];
-    let next: CacheNews = { ...none, events: [part('a', true), part('b', true)] };
+    let next: CacheUpdate = { ...none, events: [part('a', true), part('b', true)] };
     const port = {
-      news: async (_address: string, since: number): Promise<CacheNews> => {
+      news: async (_address: string, since: number): Promise<CacheUpdate> => {
         calls.push(since);
         await clock.sleep(100);
         const answer = next;
@@ -68,7 +68,7 @@
       list: () => Promise.reject(new Error('not listed')),
     };
     const watch = new StoreMonitor(state.configuration, port, clock, silentLog);
-    const keys = (): number[] => watch.kept.since(0).added;
+    const keys = (): number[] => watch.kept.changesSince(0).added;
     const keyOf = (id: string): number => partKey(STORE, part(id, true));
     watch.start();
     const value = { number: 1n, content: content(STORE), source: new Uint8Array(0) };
@@ -96,11 +96,11 @@
     const part = (id: string) => ({ salt: 's', model: 'm', part: id, isKept: true });
     let lists = 0;
     const port = {
-      news: async (_address: string, since: number): Promise<CacheNews> => {
+      news: async (_address: string, since: number): Promise<CacheUpdate> => {
         await clock.sleep(100);
         return { incarnation: 1, next: Math.max(since, 9_000), hasGap: true, events: [part('new')] };
       },
-      list: (): Promise<CacheNews> => {
+      list: (): Promise<CacheUpdate> => {
         lists += 1;
         return Promise.resolve({
           incarnation: 1,
@@ -116,7 +116,7 @@
     applyOne(state.machine, { case: 'configure', value });
     await clock.advance(150);
     const keys = ['old', 'new'].map((id) => partKey(STORE, part(id)));
-    expect(new Set(watch.kept.since(0).added)).toEqual(new Set(keys));
+    expect(new Set(watch.kept.changesSince(0).added)).toEqual(new Set(keys));
     await clock.advance(5_000);
     expect(lists).toBe(1);
     watch.stop();
--- a/packages/control/src/stores/storeMonitor.ts
+++ b/packages/control/src/stores/storeMonitor.ts
@@ -1,9 +1,9 @@
 /** Monitors the KV cache stores of the configuration. */
 import { configuration } from '@jasmineroute/configuration';
-import { ProblemTally, runLasting } from '@jasmineroute/core';
+import { ProblemTally, runCriticalTask } from '@jasmineroute/core';
 import type { Clock, Log } from '@jasmineroute/core';
-import { KeptParts } from '@jasmineroute/protocol';
-import type { CacheNews } from '@jasmineroute/protocol';
+import { CachedParts } from '@jasmineroute/protocol';
+import type { CacheUpdate } from '@jasmineroute/protocol';
 import type { ConfigurationState } from '../configuration/index.js';
 import { controlEvents } from '../events.js';
 
@@ -31,9 +31,9 @@
    * Events after `since`, or none after `waitMs`; undefined when the store is reachable but accepts no further call.
    * Rejects when it can't be reached within `timeoutMs`.
    */
-  news(address: string, since: number, waitMs: number, timeoutMs: number): Promise<CacheNews | undefined>;
+  news(address: string, since: number, waitMs: number, timeoutMs: number): Promise<CacheUpdate | undefined>;
   /** The whole content of a store, as events of parts just kept. Rejects when it does not arrive within `timeoutMs`. */
-  list(address: string, timeoutMs: number): Promise<CacheNews>;
+  list(address: string, timeoutMs: number): Promise<CacheUpdate>;
 }
 
 const decoder = new TextDecoder();
@@ -46,7 +46,7 @@
  */
 export class StoreMonitor {
   /** Parts that the stores keep. */
-  readonly kept = new KeptParts();
+  readonly kept = new CachedParts();
   private readonly unreachableAddresses = new Set<string>();
   private readonly monitoredAddresses = new Set<string>();
   private readonly listeners = new Set<() => void>();
@@ -124,13 +124,13 @@
     for (const address of this.addresses()) {
       if (this.monitoredAddresses.has(address)) continue;
       this.monitoredAddresses.add(address);
-      runLasting('watch over a store', this.monitor(address));
+      runCriticalTask('watch over a store', this.monitor(address));
     }
   }
 
   private async monitor(address: string): Promise<void> {
     const { signal } = this.stopped;
-    let lastNews: CacheNews | undefined;
+    let lastNews: CacheUpdate | undefined;
     while (!signal.aborted && this.addresses().includes(address)) {
       const since = lastNews?.next ?? 0;
       const answer = await this.port.news(address, since, LONG_POLL_MS, LONG_POLL_MS + ANSWER_MARGIN_MS).then(
@@ -142,10 +142,11 @@
       if (answer.news === undefined) await this.clock.sleep(RETRY_DELAY_MS, signal).catch(() => undefined);
       else
         lastNews =
-          (await this.listAfterGap(address, answer.news)) ?? this.kept.take(address, answer.news, lastNews);
+          (await this.listAfterGap(address, answer.news)) ??
+          this.kept.applyUpdate(address, answer.news, lastNews);
     }
     this.monitoredAddresses.delete(address);
-    this.kept.forget(address);
+    this.kept.removeAll(address);
     this.recordReachability(address, '');
   }
 
@@ -154,7 +155,7 @@
    * or when the list fails. A store remembers its newest few thousand events, fewer than it has parts: an instance that
    * has just started would otherwise treat parts of earlier events as missing.
    */
-  private async listAfterGap(address: string, { hasGap }: CacheNews): Promise<CacheNews | undefined> {
+  private async listAfterGap(address: string, { hasGap }: CacheUpdate): Promise<CacheUpdate | undefined> {
     const now = this.clock.monotonic();
     const isTooSoon = now - (this.listedAt.get(address) ?? Number.NEGATIVE_INFINITY) < MIN_LIST_INTERVAL_MS;
     if (!hasGap || isTooSoon) return undefined;
@@ -166,12 +167,12 @@
     if (list === undefined) return undefined;
     this.recordUnreadable(address, list);
     this.log.event(controlEvents.storeListed, { store: address, parts: list.events.length });
-    return this.kept.take(address, list, undefined);
+    return this.kept.applyUpdate(address, list, undefined);
   }
 
-  private recordUnreadable(address: string, news: CacheNews | undefined): void {
+  private recordUnreadable(address: string, news: CacheUpdate | undefined): void {
     if (news?.unread !== undefined)
-      this.unreadableTally.note(address, news.unread.problem, news.unread.count);
+      this.unreadableTally.record(address, news.unread.problem, news.unread.count);
   }
 
   /** @param problem why the store did not answer; empty when it answered. */
--- a/packages/control/src/targets/targetRegistry.ts
+++ b/packages/control/src/targets/targetRegistry.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import type { Clock, Log } from '@jasmineroute/core';
 import { NewestStarts, controlMessage, startFields, startId, startOf } from '@jasmineroute/protocol';
-import type { TargetStart, Unread } from '@jasmineroute/protocol';
+import type { TargetStart, UnreadableEntries } from '@jasmineroute/protocol';
 import { controlEvents } from '../events.js';
 
 /** Heartbeat intervals after which a target counts as silent: one heartbeat may be lost and one late. */
@@ -37,7 +37,7 @@
   readonly coldMs: number;
   readonly weights: readonly { readonly model: string; readonly version: number }[];
   /** Models in its list that could not be read; absent: none. */
-  readonly unread?: Unread;
+  readonly unread?: UnreadableEntries;
 }
 
 interface TargetRecord {
@@ -137,7 +137,7 @@
    * new that the call must be a late one of the previous start.
    */
   leave(left: TargetStart): void {
-    const start = left.born === undefined ? (this.newestStarts.of(left.name) ?? left) : left;
+    const start = left.born === undefined ? (this.newestStarts.newestOf(left.name) ?? left) : left;
     if (this.isOld(start)) return;
     const id = startId(start);
     const known = this.entries.get(id);
@@ -182,12 +182,12 @@
 
   private remove(target: controlMessage.AnnouncedTarget): void {
     this.entries.delete(target.id);
-    this.newestStarts.forget(startOf(target));
+    this.newestStarts.remove(startOf(target));
   }
 
   /** Whether a newer start is known. A new start ends the previous one, which then counts as left. */
   private isOld(start: TargetStart): boolean {
-    const { isOld, ended } = this.newestStarts.hear(start);
+    const { isOld, ended } = this.newestStarts.observe(start);
     const previous = ended === undefined ? undefined : this.entries.get(startId(ended))?.target;
     if (previous !== undefined && previous.announcement !== Announcement.LEFT) {
       this.put({ ...previous, announcement: Announcement.LEFT });
--- a/packages/control/src/weights/remoteWeights.ts
+++ b/packages/control/src/weights/remoteWeights.ts
@@ -1,7 +1,7 @@
 /** Weight updates of targets that have no agent process beside them, done by a control instance. */
 import { create } from '@bufbuild/protobuf';
 import type { TurnSource } from '@jasmineroute/agent';
-import { runLasting } from '@jasmineroute/core';
+import { runCriticalTask } from '@jasmineroute/core';
 import type { Clock, Log } from '@jasmineroute/core';
 import { ClusterView } from '@jasmineroute/knowledge';
 import { controlMessage } from '@jasmineroute/protocol';
@@ -54,8 +54,8 @@
   }
 
   start(): void {
-    runLasting('knowledge of targets', this.followUpdates());
-    runLasting('unattended targets', this.unattended.run());
+    runCriticalTask('knowledge of targets', this.followUpdates());
+    runCriticalTask('unattended targets', this.unattended.run());
   }
 
   stop(): void {
--- a/packages/coordination/src/agreement/agreementModel.spec.ts
+++ b/packages/coordination/src/agreement/agreementModel.spec.ts
@@ -123,7 +123,7 @@
     const query = node && cluster.query(node);
     await cluster.clock.advance(4_000);
     if (query?.outcome !== 'answered') cluster.violations.push('no answer after the repair');
-    cluster.checkEnd(this.desired);
+    cluster.checkFinalState(this.desired);
   }
 
   private runOn(kind: NodeAction, node: Node): Promise<void> | void {
--- a/packages/coordination/src/agreement/election.ts
+++ b/packages/coordination/src/agreement/election.ts
@@ -149,7 +149,7 @@
     if (this.votedAt !== undefined && this.votedAt >= campaignStartedAt) return false;
     if (replica.term + 1n !== term) return false;
     if (!this.endorsement.wasOf(replica.id)) return false;
-    replica.log.event(coordinationEvents.campaign, { term: term.toString() });
+    replica.log.event(coordinationEvents.electionStarted, { term: term.toString() });
     replica.metrics.count(coordinationMetrics.elections);
     const saved = await replica.saveState({ term, votedFor: replica.id });
     if (saved.isErr()) return false;
--- a/packages/coordination/src/agreement/failures.spec.ts
+++ b/packages/coordination/src/agreement/failures.spec.ts
@@ -76,7 +76,7 @@
   expect(leaderOf(cluster).replica?.status().term).toBe(term);
   expect(old.createRecorder.commands).toEqual(['before', 'during']);
   expect(old.replica?.status().vouched).toBe(true);
-  cluster.checkEnd();
+  cluster.checkFinalState();
 });
 
 // Guards against watchers that stay with a follower which receives no changes. Without an age limit on the last message
@@ -133,7 +133,7 @@
   await cluster.until(() => isVoter(cluster, wiped), 10_000);
   await cluster.clock.advance(1_000);
   expect(wiped.createRecorder.commands).toEqual(['kept']);
-  cluster.checkEnd();
+  cluster.checkFinalState();
 });
 
 // Guards against a replacement that votes before it has all entries: it would count towards a quorum without the data,
@@ -154,7 +154,7 @@
   await cluster.startAll();
   await cluster.until(() => cluster.nodes.every((node) => isVoter(cluster, node)), 20_000);
   await cluster.clock.advance(1_000);
-  cluster.checkEnd();
+  cluster.checkFinalState();
 });
 
 // Guards against a second cluster, or a new one that lacks the commands of an older one. A majority of empty replicas
@@ -236,7 +236,7 @@
   cluster.network.heal();
   await cluster.clock.advance(5_000);
   expect(leader.createRecorder.commands).toEqual(['once']);
-  cluster.checkEnd();
+  cluster.checkFinalState();
 });
 
 // Guards against a lagging replica that never catches up, or has a gap between snapshot and log. The other replicas no
@@ -258,7 +258,7 @@
   cluster.crash(behind);
   await cluster.start(behind);
   await cluster.clock.advance(3_000);
-  cluster.checkEnd();
+  cluster.checkFinalState();
   expect(behind.createRecorder.commands).toHaveLength(320);
 });
 
@@ -285,7 +285,7 @@
   for (const name of ['a', 'b', 'c']) cluster.crash(cluster.find(name));
   expect(await accepted(cluster, leaderOf(cluster), 'last')).toBe(true);
   await cluster.clock.advance(1_000);
-  cluster.checkEnd();
+  cluster.checkFinalState();
 });
 
 // Guards against a full disk on the leader, in the middle of a write: a command reported as not run that runs later
@@ -305,7 +305,7 @@
   await cluster.start(full);
   await cluster.clock.advance(3_000);
   expect(full.createRecorder.commands).toEqual(['elsewhere']);
-  cluster.checkEnd();
+  cluster.checkFinalState();
 });
 
 // Guards against a committed command that is lost in a power cut. After a failed sync the operating system may drop the
--- a/packages/coordination/src/agreement/replacement.spec.ts
+++ b/packages/coordination/src/agreement/replacement.spec.ts
@@ -84,7 +84,7 @@
     expect(await accepted('after')).toBe(true);
     expect(votersOf(leaderOf())).toEqual(remaining.map(({ address }) => address.name).sort());
     await cluster.clock.advance(5_000);
-    cluster.checkEnd(remaining);
+    cluster.checkFinalState(remaining);
   });
 
   // Guards against an instance that keeps its vote when it is removed after its successor was added.
@@ -115,7 +115,7 @@
     cluster.network.heal();
     expect(await cluster.until(() => votersOf(leaderOf()).length === 4, 3_000)).toBe(true);
     await cluster.clock.advance(1_000);
-    cluster.checkEnd();
+    cluster.checkFinalState();
   });
 
   test('keeps its vote if the number of voters is odd, as the quorum would not become smaller', async () => {
@@ -127,7 +127,7 @@
     expect(votersOf(leaderOf())).toEqual(['a', 'b', 'c']);
     await cluster.start(cut);
     await cluster.clock.advance(2_000);
-    cluster.checkEnd();
+    cluster.checkFinalState();
   });
 
   // Guards against a leader that keeps calling every instance that was ever replaced.
@@ -172,7 +172,7 @@
     const allVote = (): boolean => all.every((name) => votersOf(leaderOf()).includes(name));
     expect(await cluster.until(allVote, 10_000)).toBe(true);
     await cluster.clock.advance(1_000);
-    cluster.checkEnd(remaining);
+    cluster.checkFinalState(remaining);
   });
 });
 
@@ -184,11 +184,11 @@
     cluster.crash(lost);
     await cluster.clock.advance(4_000);
     const { name } = lost.address;
-    const silent = { id: coordinationEvents.voterSilent.id, fields: { name, voters: 3, spare: 0 } };
+    const silent = { id: coordinationEvents.voterUnresponsive.id, fields: { name, voters: 3, spare: 0 } };
     expect(logged.filter(({ id }) => id === silent.id)).toEqual([silent]);
     await cluster.start(lost);
     await cluster.clock.advance(1_000);
-    expect(logged.some(({ id }) => id === coordinationEvents.voterAnswers.id)).toBe(true);
+    expect(logged.some(({ id }) => id === coordinationEvents.voterResponsive.id)).toBe(true);
   });
 
   // Guards against too few voters for the losses to tolerate, which would go unnoticed until the quorum is lost.
--- a/packages/coordination/src/agreement/restart.spec.ts
+++ b/packages/coordination/src/agreement/restart.spec.ts
@@ -64,7 +64,7 @@
   const stoodFor = new Set<unknown>();
   const log: Log = {
     event: ({ id }, fields) => {
-      if (id === coordinationEvents.campaign.id) stoodFor.add(fields?.term);
+      if (id === coordinationEvents.electionStarted.id) stoodFor.add(fields?.term);
     },
     with: () => log,
   };
--- a/packages/coordination/src/agreement/voterMonitor.ts
+++ b/packages/coordination/src/agreement/voterMonitor.ts
@@ -28,7 +28,7 @@
       if (isLost === this.silent.has(replicaId)) continue;
       if (isLost) this.silent.add(replicaId);
       else this.silent.delete(replicaId);
-      const event = isLost ? coordinationEvents.voterSilent : coordinationEvents.voterAnswers;
+      const event = isLost ? coordinationEvents.voterUnresponsive : coordinationEvents.voterResponsive;
       replica.log.event(event, { name, voters: voters.length, spare });
     }
   }
--- a/packages/coordination/src/membership/failureDetector.spec.ts
+++ b/packages/coordination/src/membership/failureDetector.spec.ts
@@ -63,8 +63,8 @@
   incarnation = 1n,
 ): bigint {
   const digest = from.digest(0n, toName);
-  to.observerHeard({ name: fromName, incarnation, ageMs: 0 });
-  for (const observer of digest.observers) to.observerHeard(observer);
+  to.recordObserverContact({ name: fromName, incarnation, ageMs: 0 });
+  for (const observer of digest.observers) to.recordObserverContact(observer);
   for (const report of digest.reports) to.report(report);
   return digest.upTo;
 }
@@ -101,8 +101,8 @@
     await simulation.run(2_000, sendBeats(detector, names(10)));
     await simulation.run(4_000, (elapsed) => {
       sendBeats(detector, names(8))(elapsed);
-      detector.evidence('m8', 1n, 'refused');
-      detector.evidence('m9', 1n, 'accepted');
+      detector.recordProbeResult('m8', 1n, 'refused');
+      detector.recordProbeResult('m9', 1n, 'accepted');
     });
     expect(detector.find('m8')).toMatchObject({ liveness: 'down', cause: 'crashed' });
     expect(detector.find('m9')).toMatchObject({ liveness: 'suspect', cause: 'slow' });
@@ -254,7 +254,7 @@
       const some = members.filter(() => random() < 0.001);
       for (const member of some) member.stoppedUntil = now + 8_000 * random();
       for (const member of members) {
-        if (member.stoppedUntil > now) detector.evidence(member.name, 1n, 'accepted');
+        if (member.stoppedUntil > now) detector.recordProbeResult(member.name, 1n, 'accepted');
         else if (member.due <= now) {
           detector.beat(beat(member.name));
           member.due = now + 900 + 600 * random();
--- a/packages/coordination/src/membership/failureDetector.ts
+++ b/packages/coordination/src/membership/failureDetector.ts
@@ -1,7 +1,7 @@
 /** Decides which members are alive, from heartbeats received here and from the reports of other observers. */
 import type { Clock } from '@jasmineroute/core';
 import { MassGuard } from './massGuard.js';
-import type { Beat, BeatOutcome, Cause, Digest, Evidence, Liveness, ObserverAge } from './member.js';
+import type { Beat, BeatOutcome, Cause, Digest, ProbeResult, Liveness, ObserverAge } from './member.js';
 import type { Member, MemberReport, Source, Transition } from './member.js';
 import { MemberTable } from './memberTable.js';
 import { ObserverList } from './observerList.js';
@@ -75,13 +75,13 @@
   }
 
   /** Records the last contact with another observer, direct or as reported by others. */
-  observerHeard({ name, incarnation, ageMs }: ObserverAge): void {
+  recordObserverContact({ name, incarnation, ageMs }: ObserverAge): void {
     if (name !== this.options.observer)
       this.observers.recordContact(name, incarnation, this.time.now() - ageMs);
   }
 
   /** Records the result of a connection attempt to a suspect; ignored for other states and incarnations. */
-  evidence(name: string, incarnation: bigint, evidence: Evidence): void {
+  recordProbeResult(name: string, incarnation: bigint, evidence: ProbeResult): void {
     const member = this.members.find(name);
     if (member?.incarnation !== incarnation || member.liveness !== 'suspect') return;
     member.evidence = evidence;
--- a/packages/coordination/src/membership/member.ts
+++ b/packages/coordination/src/membership/member.ts
@@ -16,7 +16,7 @@
 export type Cause = 'heard' | 'slow' | 'silent' | 'crashed' | 'mass-silence' | 'observer-cut-off' | 'left';
 
 /** Result of a connection attempt to a suspect's address. */
-export type Evidence = 'refused' | 'accepted' | 'unreachable';
+export type ProbeResult = 'refused' | 'accepted' | 'unreachable';
 
 /** A heartbeat. */
 export interface Beat {
@@ -93,7 +93,7 @@
   downSince?: number;
   /** Observer time since which it is held as suspect because of mass silence. */
   massHoldSince?: number;
-  evidence?: Evidence;
+  evidence?: ProbeResult;
   source: Source;
   /** Number of the member's last change in this detector. */
   change: bigint;
--- a/packages/coordination/src/testing/memoryCluster.ts
+++ b/packages/coordination/src/testing/memoryCluster.ts
@@ -221,7 +221,7 @@
   }
 
   /** Checks, once all faults are repaired, that all replicas hold the same commands and that the reported outcomes are true. */
-  checkEnd(among: readonly Node[] = this.nodes): void {
+  checkFinalState(among: readonly Node[] = this.nodes): void {
     const [first, ...others] = among.filter(({ replica }) => replica !== undefined);
     const commands = first?.createRecorder.commands ?? [];
     for (const other of others) {
--- a/packages/core/src/event/problemTally.spec.ts
+++ b/packages/core/src/event/problemTally.spec.ts
@@ -9,8 +9,8 @@
     const lines: unknown[] = [];
     const log = { ...silentLog, event: (_kind: unknown, fields: unknown) => lines.push(fields) };
     const tally = new ProblemTally(log, event);
-    for (let n = 0; n < 150; n += 1) tally.note('a', 'no state');
-    tally.note('b', 'no address');
+    for (let n = 0; n < 150; n += 1) tally.record('a', 'no state');
+    tally.record('b', 'no address');
     expect(lines).toEqual([
       { source: 'a', problem: 'no state', count: 1 },
       { source: 'a', problem: 'no state', count: 10 },
@@ -24,9 +24,9 @@
     const lines: unknown[] = [];
     const log = { ...silentLog, event: (_kind: unknown, fields: unknown) => lines.push(fields) };
     const tally = new ProblemTally(log, event);
-    tally.note('a', 'no state', 7);
-    tally.note('a', 'no state', 7);
-    tally.note('a', 'no state', 7);
+    tally.record('a', 'no state', 7);
+    tally.record('a', 'no state', 7);
+    tally.record('a', 'no state', 7);
     expect(lines).toMatchObject([{ count: 7 }, { count: 14 }]);
     expect(tally.countOf('a')).toBe(21);
   });
@@ -35,7 +35,7 @@
     const lines: { source?: string }[] = [];
     const log = { ...silentLog, event: (_kind: unknown, fields = {}) => void lines.push(fields) };
     const tally = new ProblemTally(log, event);
-    for (let n = 0; n < 5_000; n += 1) tally.note(`s${n}`, 'no state');
+    for (let n = 0; n < 5_000; n += 1) tally.record(`s${n}`, 'no state');
     expect(lines.length).toBeLessThan(1_010);
     expect(tally.countOf('others')).toBe(4_000);
   });
--- a/packages/core/src/event/problemTally.ts
+++ b/packages/core/src/event/problemTally.ts
@@ -28,7 +28,7 @@
    * @param problem reason of the first one
    * @param added number of problems
    */
-  note(source: string, problem: string, added = 1): void {
+  record(source: string, problem: string, added = 1): void {
     const isTracked = this.counts.has(source) || this.counts.size < MAX_SOURCES;
     const key = isTracked ? source : OTHER_SOURCES;
     const before = this.countOf(key);
--- a/packages/core/src/metric/textMetrics.spec.ts
+++ b/packages/core/src/metric/textMetrics.spec.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { MetricKind } from './metric.js';
-import { createTextMetrics, eachOf } from './textMetrics.js';
+import { createTextMetrics, combineMetrics } from './textMetrics.js';
 
 const requests: MetricKind = { name: 'a.request.count', type: 'counter', help: 'Requests' };
 const open: MetricKind = { name: 'a.open', type: 'gauge', help: 'Open' };
@@ -22,7 +22,7 @@
 
   it('receive the measurements of combined metrics', async () => {
     const [first, second] = [createTextMetrics({}), createTextMetrics({})];
-    eachOf([first, second]).count(requests);
+    combineMetrics([first, second]).count(requests);
     expect(await first.text()).toBe(await second.text());
     expect(await first.text()).toContain('jasmineroute_a_request_count 1');
   });
--- a/packages/core/src/metric/textMetrics.ts
+++ b/packages/core/src/metric/textMetrics.ts
@@ -60,7 +60,7 @@
 }
 
 /** Forwards each measurement to all of the given metrics. */
-export function eachOf(all: readonly Metrics[]): Metrics {
+export function combineMetrics(all: readonly Metrics[]): Metrics {
   return {
     count: (...measurement) => {
       for (const one of all) one.count(...measurement);
--- a/packages/core/src/stall/stallWatch.spec.ts
+++ b/packages/core/src/stall/stallWatch.spec.ts
@@ -56,7 +56,7 @@
   it('reports no stall while its checks are on time', async () => {
     await clock.advance(1_000);
     expect(watch.current()).toBeUndefined();
-    expect(watch.readSince()).toBe(1_000);
+    expect(watch.earliestArrival()).toBe(1_000);
     expect(stalls).toEqual([]);
   });
 
@@ -65,36 +65,36 @@
     clock.stall(2_000);
     processorMs = 300;
     expect(watch.current()).toBeDefined();
-    expect(watch.readSince()).toBe(500);
+    expect(watch.earliestArrival()).toBe(500);
     expect(stalls).toEqual([{ from: 500, ms: 1_900, usedMs: 300 }]);
   });
 
   it('has caught up some turns later', async () => {
     clock.stall(2_000);
-    await watch.caughtUp();
+    await watch.waitUntilCaughtUp();
     await turns(2);
     expect(watch.current()).toBeUndefined();
-    expect(watch.readSince()).toBe(2_000);
+    expect(watch.earliestArrival()).toBe(2_000);
   });
 
   it('has not caught up while connections are accepted', async () => {
     clock.stall(2_000);
     expect(watch.current()).toBeDefined();
     for (let accepted = 0; accepted < 50; accepted += 1) {
-      watch.noteConnection();
+      watch.recordConnection();
       await turns(1);
     }
-    expect(watch.readSince()).toBe(0);
+    expect(watch.earliestArrival()).toBe(0);
     await turns(6);
-    expect(watch.readSince()).toBe(2_000);
+    expect(watch.earliestArrival()).toBe(2_000);
   });
 
   it('detects a stall in which the monotonic clock stopped too', async () => {
     await clock.advance(500);
     clock.suspend(3_000);
     expect(watch.current()).toBeDefined();
-    expect(watch.readSince()).toBe(500);
-    await watch.caughtUp();
+    expect(watch.earliestArrival()).toBe(500);
+    await watch.waitUntilCaughtUp();
     expect(stalls).toHaveLength(1);
   });
 
--- a/packages/core/src/stall/stallWatch.ts
+++ b/packages/core/src/stall/stallWatch.ts
@@ -84,18 +84,18 @@
   }
 
   /** After a stall, resolves once closed connections are known for all requests read so far; otherwise at once. */
-  async caughtUp(): Promise<void> {
+  async waitUntilCaughtUp(): Promise<void> {
     if (this.current() === undefined) return;
     for (let turns = 0; turns < CATCH_UP_TURNS; turns += 1) await nextTurn();
   }
 
   /** Monotonic time of the earliest possible arrival of input that is read now. */
-  readSince(): number {
+  earliestArrival(): number {
     return this.current() === undefined ? this.clock.monotonic() : this.from;
   }
 
   /** Records an accepted connection. The system hands over one in each turn, so after a stall more may be pending. */
-  noteConnection(): void {
+  recordConnection(): void {
     this.turnsWithoutConnection = 0;
   }
 
--- a/packages/core/src/task/criticalTask.spec.ts
+++ b/packages/core/src/task/criticalTask.spec.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
-import { TaskError, runLasting } from './criticalTask.js';
+import { TaskError, runCriticalTask } from './criticalTask.js';
 
 describe('a task that must run as long as its process', () => {
   const unhandled: unknown[] = [];
@@ -23,7 +23,7 @@
   // Guards against a process that continues without a task that it needs, because the daemon does not notice the failure.
   it('raises an unhandled TaskError when it fails', async () => {
     const cause = new Error('a bug');
-    runLasting('watch', Promise.reject(cause));
+    runCriticalTask('watch', Promise.reject(cause));
     await expect.poll(() => unhandled).toHaveLength(1);
     const [error] = unhandled;
     expect(error).toBeInstanceOf(TaskError);
@@ -31,7 +31,7 @@
   });
 
   it('raises nothing when it completes', async () => {
-    runLasting('watch', Promise.resolve());
+    runCriticalTask('watch', Promise.resolve());
     await new Promise((resolve) => setImmediate(resolve));
     expect(unhandled).toEqual([]);
   });
--- a/packages/core/src/task/criticalTask.ts
+++ b/packages/core/src/task/criticalTask.ts
@@ -16,13 +16,13 @@
  * Reports the failure of a task that must run as long as its process. Without the task the process would look healthy and do
  * only part of its work, so the error is left unhandled: the daemon stops on an unhandled `TaskError`.
  */
-export function failTask(task: string, cause: unknown): void {
+export function failCriticalTask(task: string, cause: unknown): void {
   void Promise.reject(new TaskError(task, cause));
 }
 
 /** Stops the process when a task that must run as long as the process fails. */
-export function runLasting(task: string, running: Promise<unknown>): void {
+export function runCriticalTask(task: string, running: Promise<unknown>): void {
   running.catch((error: unknown) => {
-    failTask(task, error);
+    failCriticalTask(task, error);
   });
 }
--- a/packages/daemon/src/life/life.ts
+++ b/packages/daemon/src/life/life.ts
@@ -5,7 +5,7 @@
   createLog,
   createMetrics,
   createTextMetrics,
-  eachOf,
+  combineMetrics,
   startTracing,
   systemClock,
 } from '@jasmineroute/core';
@@ -74,13 +74,13 @@
     const [address = '', port = ''] = statsd.split(':');
     all.push(createMetrics(address, Number(port), labels));
   }
-  if (metricsPort === undefined) return { metrics: eachOf(all), server: undefined };
+  if (metricsPort === undefined) return { metrics: combineMetrics(all), server: undefined };
   const text = createTextMetrics(labels);
   const server = await serveMetrics(host, metricsPort, () => {
     measureMemory(text);
     return text.text();
   });
-  return { metrics: eachOf([...all, text]), server };
+  return { metrics: combineMetrics([...all, text]), server };
 }
 
 async function endTracesOf(settings: DaemonSettings): Promise<() => Promise<void>> {
--- a/packages/directory/src/client/directoryClient.ts
+++ b/packages/directory/src/client/directoryClient.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import { controlMessage } from '@jasmineroute/protocol';
 import type { Peers } from '@jasmineroute/protocol';
-import { runLasting } from '@jasmineroute/core';
+import { runCriticalTask } from '@jasmineroute/core';
 import type { Clock, Log, Metrics } from '@jasmineroute/core';
 import { ControlAddresses } from '../call/index.js';
 import { directoryEvents } from '../events.js';
@@ -102,7 +102,7 @@
     });
     const { signal } = this.stopping;
     this.tasks = [watch.run(signal), this.heartbeats.run(signal)];
-    for (const task of this.tasks) runLasting('directory', task);
+    for (const task of this.tasks) runCriticalTask('directory', task);
   }
 
   view(): View {
--- a/packages/directory/src/membership/exchange.ts
+++ b/packages/directory/src/membership/exchange.ts
@@ -59,8 +59,8 @@
   detector: FailureDetector,
   store: InstanceStore,
 ): string[] {
-  detector.observerHeard({ name: request.from, incarnation: request.incarnation, ageMs: 0 });
-  for (const observer of request.observers) detector.observerHeard(observer);
+  detector.recordObserverContact({ name: request.from, incarnation: request.incarnation, ageMs: 0 });
+  for (const observer of request.observers) detector.recordObserverContact(observer);
   const names: string[] = [];
   for (const heard of request.heard) {
     const { instance } = heard;
--- a/packages/directory/src/membership/membership.ts
+++ b/packages/directory/src/membership/membership.ts
@@ -3,7 +3,7 @@
 import { Code, ConnectError } from '@connectrpc/connect';
 import type { ConnectRouter } from '@connectrpc/connect';
 import type { FailureDetector, Transition } from '@jasmineroute/coordination';
-import { fault, runLasting } from '@jasmineroute/core';
+import { fault, runCriticalTask } from '@jasmineroute/core';
 import type { Clock, Log } from '@jasmineroute/core';
 import { controlMessage, errorOf } from '@jasmineroute/protocol';
 import type { Peers } from '@jasmineroute/protocol';
@@ -76,7 +76,7 @@
   /** Starts failure detection and exchanges. `self` returns this control instance's own state. */
   start(self: () => InstanceMessage): void {
     this.ticking = this.run(self);
-    runLasting('membership', this.ticking);
+    runCriticalTask('membership', this.ticking);
   }
 
   /** Stops all tasks and waits for them. */
@@ -208,7 +208,7 @@
   private async probeInstance(name: string, incarnation: bigint, address: string): Promise<void> {
     this.probing.add(name);
     try {
-      this.options.detector.evidence(name, incarnation, await this.probe(address));
+      this.options.detector.recordProbeResult(name, incarnation, await this.probe(address));
     } finally {
       this.probing.delete(name);
     }
--- a/packages/directory/src/membership/probe.ts
+++ b/packages/directory/src/membership/probe.ts
@@ -1,7 +1,7 @@
 /** Tests whether a silent instance accepts connections. */
 import { connect } from 'node:net';
 import type { Clock } from '@jasmineroute/core';
-import type { Evidence } from '@jasmineroute/coordination';
+import type { ProbeResult } from '@jasmineroute/coordination';
 
 /** Timeout of a connection attempt, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 500;
@@ -9,7 +9,7 @@
 const STABLE_CONNECTION_MS = 200;
 
 /** Distinguishes an exited process, a paused process and an unreachable host. */
-export type Probe = (address: string) => Promise<Evidence>;
+export type Probe = (address: string) => Promise<ProbeResult>;
 
 /** Probes over TCP. */
 export function tcpProbe(clock: Clock): Probe {
@@ -17,8 +17,8 @@
     new Promise((resolve) => {
       const colon = address.lastIndexOf(':');
       const socket = connect(Number(address.slice(colon + 1)), address.slice(0, colon));
-      let evidence: Evidence = 'unreachable';
-      const finish = (found: Evidence): void => {
+      let evidence: ProbeResult = 'unreachable';
+      const finish = (found: ProbeResult): void => {
         cancel();
         socket.destroy();
         resolve(found);
--- a/packages/engine/src/wire/exchange.ts
+++ b/packages/engine/src/wire/exchange.ts
@@ -161,7 +161,7 @@
 
   /** Starts again once an abort that arrived during the stall has had time to raise the signal. */
   private async startAfterCatchUp(): Promise<void> {
-    await this.stalls?.caughtUp();
+    await this.stalls?.waitUntilCaughtUp();
     if (this.failed === undefined) this.start();
   }
 
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -2,7 +2,7 @@
 import { ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { ConnectRouter } from '@connectrpc/connect';
-import { runLasting } from '@jasmineroute/core';
+import { runCriticalTask } from '@jasmineroute/core';
 import type { Fault } from '@jasmineroute/core';
 import type { Readiness, RoleContext, RoleProcess } from '@jasmineroute/protocol';
 import {
@@ -132,7 +132,7 @@
     await this.parts.directory.start(() => ({ address, dataCentre }));
     this.address = await this.server.listen();
     log.event(entryEvents.listening, { address: this.address });
-    runLasting('gauges', this.reportGauges());
+    runCriticalTask('gauges', this.reportGauges());
   }
 
   httpAddress(): string {
--- a/packages/entry/src/http/server.ts
+++ b/packages/entry/src/http/server.ts
@@ -180,7 +180,7 @@
 
   private watchConnections(): void {
     this.server.on('connection', (socket: Socket) => {
-      this.stalls.noteConnection();
+      this.stalls.recordConnection();
       this.lastConnectionAt = this.clock.monotonic();
       this.openConnections.set(socket, {
         responses: new Set(),
--- a/packages/entry/src/work/attempts.ts
+++ b/packages/entry/src/work/attempts.ts
@@ -83,7 +83,7 @@
     const placed = await this.place(model, job);
     endHop(decide, placed.isErr() ? placed.error.kind : undefined);
     // After a stall of the process, the event loop needs some turns to notice callers that disconnected meanwhile.
-    await this.context.stalls.caughtUp();
+    await this.context.stalls.waitUntilCaughtUp();
     if (stop.aborted) return undefined;
     if (placed.isErr()) return this.fail(this.lastFault ?? placed.error);
     const placement = placed.value;
--- a/packages/knowledge/src/follower.ts
+++ b/packages/knowledge/src/follower.ts
@@ -1,5 +1,5 @@
 /** Follows a subset of the known control instances, with one task for each. */
-import { runLasting } from '@jasmineroute/core';
+import { runCriticalTask } from '@jasmineroute/core';
 import { controlOrder } from './controlOrder.js';
 import { FollowTask, QUORUM_LOSS_GRACE_MS } from './followTask.js';
 import type { FollowTaskOwner, FollowTaskParts } from './followTask.js';
@@ -69,7 +69,7 @@
   start(): void {
     this.primarySince = this.parts.clock.monotonic();
     this.adjust();
-    runLasting('choice of control instances', this.review());
+    runCriticalTask('choice of control instances', this.review());
   }
 
   /** Replaces the seed addresses. */
@@ -231,7 +231,7 @@
   private startTask(address: string): void {
     const task = new FollowTask(address, this.parts, this, this.isBulkWanted(address));
     this.tasks.set(address, task);
-    runLasting('stream of a control instance', task.run());
+    runCriticalTask('stream of a control instance', task.run());
   }
 
   private forgetReported(address: string): void {
--- a/packages/knowledge/src/targetList.ts
+++ b/packages/knowledge/src/targetList.ts
@@ -137,7 +137,7 @@
   /** Of two starts of one target the newer one counts, whatever the order and the instance that reports them. */
   private applyOne(control: string, announced: controlMessage.AnnouncedTarget): void {
     const now = this.clock.monotonic();
-    const { isOld, ended } = this.newestStarts.hear(startOf(announced));
+    const { isOld, ended } = this.newestStarts.observe(startOf(announced));
     if (ended !== undefined) this.replaced(startId(ended));
     if (isOld) {
       this.replaced(announced.id);
@@ -193,7 +193,7 @@
     for (const [id, known] of this.targets) {
       if (isReady(known) || now - known.changedAt <= RETENTION_MS) continue;
       this.targets.delete(id);
-      this.newestStarts.forget(known.target);
+      this.newestStarts.remove(known.target);
     }
   }
 
--- a/packages/protocol/src/part/cacheUpdate.ts
+++ b/packages/protocol/src/part/cacheUpdate.ts
@@ -1,9 +1,9 @@
 /** Cache events of a cache store or a target. */
 import type { StoredPart } from './partKey.js';
-import type { Unread } from './unreadable.js';
+import type { UnreadableEntries } from './unreadable.js';
 
 /** Changes of a cache since the previous call. */
-export interface CacheNews {
+export interface CacheUpdate {
   /** Differs for each start of the store or target. */
   readonly incarnation: number;
   /** Position from which the next call continues. */
@@ -13,5 +13,5 @@
   /** Events in order. `isKept` false: blocks of the part were evicted. */
   readonly events: readonly (StoredPart & { readonly isKept: boolean })[];
   /** Further events that could not be read; absent: none. */
-  readonly unread?: Unread;
+  readonly unread?: UnreadableEntries;
 }
--- a/packages/protocol/src/part/cachedParts.spec.ts
+++ b/packages/protocol/src/part/cachedParts.spec.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { KeptParts } from './cachedParts.js';
+import { CachedParts } from './cachedParts.js';
 import { partKey } from './partKey.js';
 
 const STORE = '10.0.0.9:80';
@@ -17,27 +17,27 @@
     );
     fc.assert(
       fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
-        const kept = new KeptParts();
+        const kept = new CachedParts();
         let position = 0;
         let follower = new Set<number>();
         let expected = new Set<number>();
         const sendUpdate = (): void => {
-          const { whole, added, dropped } = kept.since(position);
+          const { whole, added, dropped } = kept.changesSince(position);
           if (whole) follower = new Set();
           for (const key of dropped) follower.delete(key);
           for (const key of added) follower.add(key);
-          position = kept.place();
+          position = kept.position();
         };
         for (const one of [...steps, 'update' as const]) {
           if (one === 'update') {
             sendUpdate();
             expect([...follower].sort()).toEqual([...expected].sort());
           } else if (one === 'restart') {
-            kept.forget(STORE);
+            kept.removeAll(STORE);
             expected = new Set();
           } else {
             const key = keyOf(one.id);
-            kept.note(STORE, key, one.isKept);
+            kept.recordChange(STORE, key, one.isKept);
             if (one.isKept) expected.add(key);
             else expected.delete(key);
           }
@@ -47,23 +47,24 @@
   });
 
   it('are sent in full to a follower that missed more changes than are retained', () => {
-    const kept = new KeptParts();
-    kept.note(STORE, keyOf(1), true);
-    const position = kept.place();
-    for (let id = 2; id < 20_000; id += 1) kept.note(STORE, keyOf(id), true);
-    const changes = kept.since(position);
+    const kept = new CachedParts();
+    kept.recordChange(STORE, keyOf(1), true);
+    const position = kept.position();
+    for (let id = 2; id < 20_000; id += 1) kept.recordChange(STORE, keyOf(id), true);
+    const changes = kept.changesSince(position);
     expect(changes.whole).toBe(true);
     expect(changes.added.length).toBe(19_999);
   });
 
   it('are applied from reports of another process, changes or all of them', () => {
-    const kept = new KeptParts();
-    const full = (added: number[]) => Object.assign(kept.since(0), { whole: true, added, dropped: [] });
-    kept.apply(STORE, full([1, 2]));
-    kept.apply('other', full([7]));
-    kept.apply(STORE, Object.assign(kept.since(kept.place()), { added: [3], dropped: [1] }));
-    expect([...kept.since(0).added].sort()).toEqual([2, 3, 7]);
-    kept.apply(STORE, full([3, 4]));
-    expect([...kept.since(0).added].sort()).toEqual([3, 4, 7]);
+    const kept = new CachedParts();
+    const full = (added: number[]) =>
+      Object.assign(kept.changesSince(0), { whole: true, added, dropped: [] });
+    kept.applyChanges(STORE, full([1, 2]));
+    kept.applyChanges('other', full([7]));
+    kept.applyChanges(STORE, Object.assign(kept.changesSince(kept.position()), { added: [3], dropped: [1] }));
+    expect([...kept.changesSince(0).added].sort()).toEqual([2, 3, 7]);
+    kept.applyChanges(STORE, full([3, 4]));
+    expect([...kept.changesSince(0).added].sort()).toEqual([3, 4, 7]);
   });
 });
--- a/packages/protocol/src/part/cachedParts.ts
+++ b/packages/protocol/src/part/cachedParts.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import { KeptChangesSchema } from '../gen/jasmineroute/control_pb.js';
 import type { KeptChanges } from '../gen/jasmineroute/control_pb.js';
-import type { CacheNews } from './cacheUpdate.js';
+import type { CacheUpdate } from './cacheUpdate.js';
 import { partKey } from './partKey.js';
 
 /** Most changes that are retained. A cache that replaces a million tokens in 10 s drops some hundred parts a second. */
@@ -14,14 +14,14 @@
 }
 
 /** Keys of cached parts, with numbered changes so that each follower is sent only the changes since its position. */
-export class KeptParts {
+export class CachedParts {
   private readonly byAddress = new Map<string, Set<number>>();
   private changes: Change[] = [];
   /** Position of the oldest retained change. */
   private firstPosition = 1;
 
   /** Position of the newest change. */
-  place(): number {
+  position(): number {
     return this.firstPosition + this.changes.length - 1;
   }
 
@@ -29,26 +29,31 @@
    * Applies an update from a cache. Returns the update from which the next call continues; undefined: from the beginning,
    * because the cache has restarted. Parts that may have changed without an event are removed.
    */
-  take(address: string, update: CacheNews, lastUpdate: CacheNews | undefined): CacheNews | undefined {
+  applyUpdate(
+    address: string,
+    update: CacheUpdate,
+    lastUpdate: CacheUpdate | undefined,
+  ): CacheUpdate | undefined {
     const isRestarted = lastUpdate !== undefined && lastUpdate.incarnation !== update.incarnation;
-    if (isRestarted || update.hasGap) this.forget(address);
+    if (isRestarted || update.hasGap) this.removeAll(address);
     if (isRestarted) return undefined;
-    for (const { isKept, ...part } of update.events) this.note(address, partKey(address, part), isKept);
+    for (const { isKept, ...part } of update.events)
+      this.recordChange(address, partKey(address, part), isKept);
     return update;
   }
 
   /** Applies the changes to a cache that another process reported. */
-  apply(address: string, { whole, dropped, added }: KeptChanges): void {
+  applyChanges(address: string, { whole, dropped, added }: KeptChanges): void {
     if (whole) {
       const remaining = new Set(added);
-      for (const key of this.keptAt(address)) if (!remaining.has(key)) this.note(address, key, false);
+      for (const key of this.keptAt(address)) if (!remaining.has(key)) this.recordChange(address, key, false);
     }
-    for (const key of dropped) this.note(address, key, false);
-    for (const key of added) this.note(address, key, true);
+    for (const key of dropped) this.recordChange(address, key, false);
+    for (const key of added) this.recordChange(address, key, true);
   }
 
   /** Records that a cache has gained or lost blocks of a part. A part with missing blocks counts as dropped. */
-  note(address: string, key: number, isKept: boolean): void {
+  recordChange(address: string, key: number, isKept: boolean): void {
     const kept = this.keptAt(address);
     if (kept.has(key) === isKept) return;
     if (isKept) kept.add(key);
@@ -63,12 +68,12 @@
   }
 
   /** Removes all parts of a cache. */
-  forget(address: string): void {
-    for (const key of this.keptAt(address)) this.note(address, key, false);
+  removeAll(address: string): void {
+    for (const key of this.keptAt(address)) this.recordChange(address, key, false);
   }
 
   /** Changes after a follower's position; 0, or a position that is no longer retained: all parts. */
-  since(position: number): KeptChanges {
+  changesSince(position: number): KeptChanges {
     const isWhole = position === 0 || position < this.firstPosition - 1;
     if (isWhole) {
       const added = [...new Set([...this.byAddress.values()].flatMap((kept) => [...kept]))];
--- a/packages/protocol/src/start/targetStart.spec.ts
+++ b/packages/protocol/src/start/targetStart.spec.ts
@@ -20,16 +20,16 @@
   it('are reduced to the newest one in any order of arrival', () => {
     const newest = new NewestStarts();
     const start = (born?: number, name = 'i-1') => ({ name, born });
-    expect(newest.hear(start(6))).toEqual({ isOld: false });
-    expect(newest.hear(start(5)).isOld).toBe(true);
-    expect(newest.hear(start()).isOld).toBe(true);
-    expect(newest.hear(start(6))).toEqual({ isOld: false });
-    expect(newest.hear(start(1, 'i-2'))).toEqual({ isOld: false });
-    expect(newest.hear(start(7))).toEqual({ isOld: false, ended: start(6) });
-    newest.forget(start(6));
-    expect(newest.of('i-1')?.born).toBe(7);
-    newest.forget(start(7));
-    expect(newest.of('i-1')).toBeUndefined();
+    expect(newest.observe(start(6))).toEqual({ isOld: false });
+    expect(newest.observe(start(5)).isOld).toBe(true);
+    expect(newest.observe(start()).isOld).toBe(true);
+    expect(newest.observe(start(6))).toEqual({ isOld: false });
+    expect(newest.observe(start(1, 'i-2'))).toEqual({ isOld: false });
+    expect(newest.observe(start(7))).toEqual({ isOld: false, ended: start(6) });
+    newest.remove(start(6));
+    expect(newest.newestOf('i-1')?.born).toBe(7);
+    newest.remove(start(7));
+    expect(newest.newestOf('i-1')).toBeUndefined();
   });
 
   it('are unchanged by a message', () => {
--- a/packages/protocol/src/start/targetStart.ts
+++ b/packages/protocol/src/start/targetStart.ts
@@ -55,12 +55,12 @@
   private readonly starts = new Map<string, TargetStart>();
 
   /** The newest known start of a target; undefined: none. */
-  of(name: string): TargetStart | undefined {
+  newestOf(name: string): TargetStart | undefined {
     return this.starts.get(name);
   }
 
   /** Records an observed start. */
-  hear(start: TargetStart): StartObservation {
+  observe(start: TargetStart): StartObservation {
     const known = this.starts.get(start.name);
     const order = known === undefined ? 1 : compareStarts(start, known);
     if (order < 0) return { isOld: true };
@@ -69,7 +69,7 @@
   }
 
   /** Removes a start, unless a newer one of the target is known. */
-  forget(start: TargetStart): void {
+  remove(start: TargetStart): void {
     const known = this.starts.get(start.name);
     if (known !== undefined && compareStarts(start, known) === 0) this.starts.delete(start.name);
   }
--- a/packages/relay/src/answer/callerAnswer.ts
+++ b/packages/relay/src/answer/callerAnswer.ts
@@ -34,7 +34,7 @@
     private readonly clock: Clock,
     stalls: StallWatch,
   ) {
-    this.earliestStartAt = stalls.readSince();
+    this.earliestStartAt = stalls.earliestArrival();
     this.latestStartAt = clock.monotonic();
     response.on('error', () => {
       this.left.abort(new Error('caller left'));
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -1,6 +1,6 @@
 /** The relaying entry role: accepts callers' requests, forwards them to targets, and subscribes to control. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import { fault, runLasting } from '@jasmineroute/core';
+import { fault, runCriticalTask } from '@jasmineroute/core';
 import { BodyBudget, CallerServer, seedOf } from '@jasmineroute/entry';
 import type { Readiness, RoleContext, RoleProcess } from '@jasmineroute/protocol';
 import { createRandom } from '@jasmineroute/routing';
@@ -130,8 +130,8 @@
     this.follower.start();
     this.address = await this.server.listen();
     this.context.log.event(relayEvents.listening, { address: this.address });
-    runLasting('sweep of pools', this.sweep());
-    runLasting('work reports', this.reporter.run());
+    runCriticalTask('sweep of pools', this.sweep());
+    runCriticalTask('work reports', this.reporter.run());
   }
 
   /** host:port that callers reach; known after `start`. */
--- a/packages/relay/src/testing/bed.ts
+++ b/packages/relay/src/testing/bed.ts
@@ -124,9 +124,9 @@
 class CountingStallWatch extends StallWatch {
   connections = 0;
 
-  override noteConnection(): void {
+  override recordConnection(): void {
     this.connections += 1;
-    super.noteConnection();
+    super.recordConnection();
   }
 }
 
--- a/packages/relay/src/work/requestHandler.ts
+++ b/packages/relay/src/work/requestHandler.ts
@@ -73,7 +73,7 @@
     const request = dialect.readRequest(this.incoming);
     // After an event loop stall, a caller's request may be read before control's updates: the configuration may be
     // out of date.
-    await stalls.caughtUp();
+    await stalls.waitUntilCaughtUp();
     const isConfigured = (): boolean => knowledge.confirmed() && knowledge.table() !== undefined;
     await startupGrace.until(isConfigured, this.answer.gone, (leftMs) => {
       this.logWait(request.isOk() ? request.value.id : undefined, leftMs);
@@ -172,7 +172,7 @@
     let last: Outcome = { state: 'fault', fault: fault('no-target', 'no target is ready') };
     for (;;) {
       // A caller that left during an event loop stall is noticed only some turns of the loop later.
-      await stalls.caughtUp();
+      await stalls.waitUntilCaughtUp();
       if (this.sends === 0 && !this.hasTime(job)) {
         last = {
           state: 'fault',
--- a/packages/rollout/src/port/port.ts
+++ b/packages/rollout/src/port/port.ts
@@ -1,6 +1,6 @@
 /** Port to a target: its state and its orders. */
 import type { Fault } from '@jasmineroute/core';
-import type { CacheNews, TargetStart, Unread } from '@jasmineroute/protocol';
+import type { CacheUpdate, TargetStart, UnreadableEntries } from '@jasmineroute/protocol';
 import type { Result } from 'neverthrow';
 
 /** State that a target reports on request. */
@@ -17,7 +17,7 @@
   /** Number of orders accepted since its start. */
   readonly orders: number;
   /** Unreadable entries of its list of models; absent: none. */
-  readonly unread?: Unread;
+  readonly unread?: UnreadableEntries;
 }
 
 /** Identity of a target. */
@@ -66,7 +66,7 @@
    * Changes of its cache after position `since`, or none after `waitMs`; undefined when it accepts no further call. Rejects
    * when it can't be reached within `timeoutMs`.
    */
-  cacheNews(since: number, waitMs: number, timeoutMs: number): Promise<CacheNews | undefined>;
+  cacheNews(since: number, waitMs: number, timeoutMs: number): Promise<CacheUpdate | undefined>;
   /** Errors: no answer, so that the order may be carried out now, later or never. */
   order(order: WeightsOrder, timeoutMs: number): Promise<Result<OrderOutcome, Fault>>;
 }
--- a/packages/rollout/src/rollout.ts
+++ b/packages/rollout/src/rollout.ts
@@ -1,5 +1,5 @@
 /** Role of the process beside a target. */
-import { runLasting } from '@jasmineroute/core';
+import { runCriticalTask } from '@jasmineroute/core';
 import { ChangeSignal, ControlClient, TurnClient } from '@jasmineroute/directory';
 import { Follower, ClusterView, ReportSender } from '@jasmineroute/knowledge';
 import type { Readiness, RoleContext, RoleProcess } from '@jasmineroute/protocol';
@@ -90,10 +90,10 @@
   start(): Promise<void> {
     const { address, service } = this.target;
     this.follower.start();
-    runLasting('weights', this.weightsUpdater.run());
-    runLasting('load reports', this.loadReporter.run());
-    runLasting('cache reports', this.cacheReporter.run());
-    runLasting('announcements', this.announcer.run());
+    runCriticalTask('weights', this.weightsUpdater.run());
+    runCriticalTask('load reports', this.loadReporter.run());
+    runCriticalTask('cache reports', this.cacheReporter.run());
+    runCriticalTask('announcements', this.announcer.run());
     this.context.log.event(rolloutEvents.started, { target: address, service });
     return Promise.resolve();
   }
--- a/packages/rollout/src/sidecar/cacheReporter.spec.ts
+++ b/packages/rollout/src/sidecar/cacheReporter.spec.ts
@@ -1,7 +1,7 @@
 import { ManualClock, silentLog, systemClock } from '@jasmineroute/core';
 import { ReportSender } from '@jasmineroute/knowledge';
-import { KeptParts, Peers, controlMessage, listen, partKey } from '@jasmineroute/protocol';
-import type { CacheNews, RpcServer } from '@jasmineroute/protocol';
+import { CachedParts, Peers, controlMessage, listen, partKey } from '@jasmineroute/protocol';
+import type { CacheUpdate, RpcServer } from '@jasmineroute/protocol';
 import { reportTaker, waitFor } from '@jasmineroute/testkit';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import type { TargetPort } from '../port/index.js';
@@ -13,16 +13,16 @@
 
 describe('the report of a target cache', () => {
   let servers: RpcServer[];
-  let keptParts: KeptParts[];
+  let keptParts: CachedParts[];
   let peers: Peers;
   let sender: ReportSender;
-  let news: CacheNews | undefined;
+  let news: CacheUpdate | undefined;
   let problem: string | undefined;
   const clock = new ManualClock();
   let logged: number[];
 
   beforeEach(async () => {
-    keptParts = [new KeptParts(), new KeptParts()];
+    keptParts = [new CachedParts(), new CachedParts()];
     servers = await Promise.all(
       keptParts.map((board) =>
         listen('127.0.0.1', 0, (router) => {
@@ -30,7 +30,7 @@
             report: reportTaker((report) => {
               if (report.case !== 'cache') return;
               const { address, changes } = report.value;
-              if (changes !== undefined) board.apply(address, changes);
+              if (changes !== undefined) board.applyChanges(address, changes);
             }),
           });
         }),
@@ -60,7 +60,7 @@
       log: { ...silentLog, event: ({ id }) => void logged.push(id) },
     });
 
-  const newsOf = (events: Record<string, boolean>, change: Partial<CacheNews> = {}): CacheNews => ({
+  const newsOf = (events: Record<string, boolean>, change: Partial<CacheUpdate> = {}): CacheUpdate => ({
     incarnation: 1,
     next: 1,
     hasGap: false,
@@ -68,7 +68,7 @@
     ...change,
   });
 
-  const keysAt = (board: number): number[] => [...(keptParts[board]?.since(0).added ?? [])].sort();
+  const keysAt = (board: number): number[] => [...(keptParts[board]?.changesSince(0).added ?? [])].sort();
 
   /** Waits until a control instance has exactly these parts. */
   const untilParts = (board: number, ...ids: string[]): Promise<unknown> =>
@@ -103,7 +103,7 @@
     news = newsOf({ a: true });
     await one.poll();
     await untilParts(0, 'a');
-    keptParts[0]?.forget(ADDRESS);
+    keptParts[0]?.removeAll(ADDRESS);
     news = newsOf({ b: true });
     await one.poll();
     await untilParts(0, 'b');
--- a/packages/rollout/src/sidecar/cacheReporter.ts
+++ b/packages/rollout/src/sidecar/cacheReporter.ts
@@ -3,8 +3,8 @@
 import { ProblemTally } from '@jasmineroute/core';
 import type { Clock, Log } from '@jasmineroute/core';
 import type { ReportSender, ReportStream } from '@jasmineroute/knowledge';
-import { KeptParts, controlMessage } from '@jasmineroute/protocol';
-import type { CacheNews } from '@jasmineroute/protocol';
+import { CachedParts, controlMessage } from '@jasmineroute/protocol';
+import type { CacheUpdate } from '@jasmineroute/protocol';
 import { rolloutEvents } from '../events.js';
 import type { TargetPort } from '../port/index.js';
 import { intervalFactor } from './pollInterval.js';
@@ -69,8 +69,8 @@
  */
 export class CacheReporter {
   private readonly stopped = new AbortController();
-  private readonly kept = new KeptParts();
-  private lastNews: CacheNews | undefined;
+  private readonly kept = new CachedParts();
+  private lastNews: CacheUpdate | undefined;
   private isAnswering = true;
   private sent = NONE_SENT;
   private readonly unreadable: ProblemTally;
@@ -105,8 +105,8 @@
     this.updateAnswering(answer.news !== undefined, answer.problem);
     if (answer.news === undefined) return false;
     const { unread } = answer.news;
-    if (unread !== undefined) this.unreadable.note(address, unread.problem, unread.count);
-    this.lastNews = this.kept.take(address, answer.news, this.lastNews);
+    if (unread !== undefined) this.unreadable.record(address, unread.problem, unread.count);
+    this.lastNews = this.kept.applyUpdate(address, answer.news, this.lastNews);
     await this.report();
     return true;
   }
@@ -123,7 +123,7 @@
   /** Sends the changes on the stream of the last report, or a full report on a new stream. */
   private async report(): Promise<void> {
     const { address, clock, sender } = this.parts;
-    const position = this.kept.place();
+    const position = this.kept.position();
     const now = clock.monotonic();
     const { sent } = this;
     const isUpToDate = sent.stream?.isOpen === true && sent.position === position;
@@ -131,7 +131,7 @@
     const isFullDue = now - sent.fullAt > FULL_REPORT_INTERVAL_MS;
     const isFull = (stream: ReportStream): boolean => isFullDue || stream !== sent.stream;
     const stream = await sender.send((to) => {
-      const changes = this.kept.since(isFull(to) ? 0 : sent.position);
+      const changes = this.kept.changesSince(isFull(to) ? 0 : sent.position);
       const value = create(controlMessage.TargetCacheSchema, { address, changes });
       return { case: 'cache', value };
     });
--- a/packages/rollout/src/sidecar/loadReporter.ts
+++ b/packages/rollout/src/sidecar/loadReporter.ts
@@ -73,7 +73,7 @@
     }
     this.isUnreachable = false;
     const { running, waiting, unread } = report.value;
-    if (unread !== undefined) this.unreadable.note(address, unread.problem, unread.count);
+    if (unread !== undefined) this.unreadable.record(address, unread.problem, unread.count);
     const load = `${target.id} ${running} ${waiting}`;
     const now = clock.monotonic();
     if (load === this.sentLoad && now - this.sentAt < REPORT_INTERVAL_MS) return;
--- a/packages/rollout/src/unattended/unattendedTargets.ts
+++ b/packages/rollout/src/unattended/unattendedTargets.ts
@@ -1,6 +1,6 @@
 /** Updates the weights of targets without a process beside them. */
 import type { TurnSource } from '@jasmineroute/agent';
-import { runLasting } from '@jasmineroute/core';
+import { runCriticalTask } from '@jasmineroute/core';
 import type { Clock, Log } from '@jasmineroute/core';
 import { ChangeSignal } from '@jasmineroute/directory';
 import type { ClusterView, Target } from '@jasmineroute/knowledge';
@@ -110,7 +110,7 @@
     const updater = new WeightsUpdater({ ...this.parts, changes, address, service, port: targetAt(address) });
     this.updaters.set(id, updater);
     log.event(rolloutEvents.unattended, { target: id, address });
-    runLasting('weights of an unattended target', updater.run());
+    runCriticalTask('weights of an unattended target', updater.run());
   }
 
   private stopUpdater(id: string): void {
