--- a/packages/control/src/replicas/replicaReconciler.spec.ts
+++ b/packages/control/src/replicas/replicaReconciler.spec.ts
@@ -11,13 +11,13 @@
   let clock: ManualClock;
   let state: StateParts;
   let log: LocalLog;
-  let keeper: ReplicaReconciler;
+  let reconciler: ReplicaReconciler;
 
   beforeEach(() => {
     clock = new ManualClock();
     state = createState();
     log = new LocalLog(state.machine);
-    keeper = new ReplicaReconciler(new DocumentView(state.documents, silentLog), log, clock, silentLog);
+    reconciler = new ReplicaReconciler(new DocumentView(state.documents, silentLog), log, clock, silentLog);
   });
 
   const accept = (replicas: readonly string[], baseVersion: bigint): void => {
@@ -28,9 +28,9 @@
   };
 
   it('requests no change without a control document', async () => {
-    void keeper.run();
+    void reconciler.run();
     await clock.advance(5_000);
-    keeper.stop();
+    reconciler.stop();
     expect(log.changes).toHaveLength(0);
   });
 
@@ -39,9 +39,9 @@
     // change and another one takes over, but the change is requested only once, by the instance that accepted the document.
     accept(['c1=10.0.0.1:1', 'c2=10.0.0.2:1'], 0n);
     log.changeFaults.push(fault('not-leader', 'x'), fault('no-quorum', 'x'));
-    void keeper.run();
+    void reconciler.run();
     await clock.advance(4_500);
-    keeper.stop();
+    reconciler.stop();
     const wanted = [
       { name: 'c1', address: '10.0.0.1:1' },
       { name: 'c2', address: '10.0.0.2:1' },
@@ -56,10 +56,10 @@
     // change.
     accept(['c1=10.0.0.1:1', 'c2=10.0.0.9:1'], 0n);
     log.hangChanges = true;
-    keeper.reconcile();
+    reconciler.reconcile();
     accept(['c1=10.0.0.1:1', 'c2=10.0.0.2:1'], 1n);
-    keeper.reconcile();
-    keeper.reconcile();
+    reconciler.reconcile();
+    reconciler.reconcile();
     await clock.advance(0);
     expect(log.changes.map((wanted) => wanted[1]?.address)).toEqual(['10.0.0.9:1', '10.0.0.2:1']);
   });
--- a/packages/control/src/stores/storeMonitor.spec.ts
+++ b/packages/control/src/stores/storeMonitor.spec.ts
@@ -19,9 +19,9 @@
     const clock = new ManualClock();
     const state = createState();
     let answers = true;
-    const news = { incarnation: 1, next: 0, hasGap: false, events: [] };
+    const update = { incarnation: 1, next: 0, hasGap: false, events: [] };
     const port = {
-      news: () => clock.sleep(50).then(() => (answers ? news : Promise.reject(new Error('gone')))),
+      news: () => clock.sleep(50).then(() => (answers ? update : Promise.reject(new Error('gone')))),
       list: () => Promise.reject(new Error('not listed')),
     };
     const watch = new StoreMonitor(state.configuration, port, clock, silentLog);
--- a/packages/control/src/stores/storeMonitor.ts
+++ b/packages/control/src/stores/storeMonitor.ts
@@ -124,26 +124,26 @@
     for (const address of this.addresses()) {
       if (this.monitoredAddresses.has(address)) continue;
       this.monitoredAddresses.add(address);
-      runCriticalTask('watch over a store', this.monitor(address));
+      runCriticalTask('store monitor', this.monitor(address));
     }
   }
 
   private async monitor(address: string): Promise<void> {
     const { signal } = this.stopped;
-    let lastNews: CacheUpdate | undefined;
+    let lastUpdate: CacheUpdate | undefined;
     while (!signal.aborted && this.addresses().includes(address)) {
-      const since = lastNews?.next ?? 0;
+      const since = lastUpdate?.next ?? 0;
       const answer = await this.port.news(address, since, LONG_POLL_MS, LONG_POLL_MS + ANSWER_MARGIN_MS).then(
-        (news) => ({ news, problem: '' }),
-        (problem: unknown) => ({ news: undefined, problem: String(problem) }),
+        (update) => ({ update, problem: '' }),
+        (problem: unknown) => ({ update: undefined, problem: String(problem) }),
       );
       this.recordReachability(address, answer.problem);
-      this.recordUnreadable(address, answer.news);
-      if (answer.news === undefined) await this.clock.sleep(RETRY_DELAY_MS, signal).catch(() => undefined);
+      this.recordUnreadable(address, answer.update);
+      if (answer.update === undefined) await this.clock.sleep(RETRY_DELAY_MS, signal).catch(() => undefined);
       else
-        lastNews =
-          (await this.listAfterGap(address, answer.news)) ??
-          this.kept.applyUpdate(address, answer.news, lastNews);
+        lastUpdate =
+          (await this.listAfterGap(address, answer.update)) ??
+          this.kept.applyUpdate(address, answer.update, lastUpdate);
     }
     this.monitoredAddresses.delete(address);
     this.kept.removeAll(address);
@@ -170,9 +170,9 @@
     return this.kept.applyUpdate(address, list, undefined);
   }
 
-  private recordUnreadable(address: string, news: CacheUpdate | undefined): void {
-    if (news?.unread !== undefined)
-      this.unreadableTally.record(address, news.unread.problem, news.unread.count);
+  private recordUnreadable(address: string, update: CacheUpdate | undefined): void {
+    if (update?.unread !== undefined)
+      this.unreadableTally.record(address, update.unread.problem, update.unread.count);
   }
 
   /** @param problem why the store did not answer; empty when it answered. */
--- a/packages/control/src/time/logTimeAdvancer.spec.ts
+++ b/packages/control/src/time/logTimeAdvancer.spec.ts
@@ -13,7 +13,7 @@
   let clock: ManualClock;
   let state: StateParts;
   let log: LocalLog;
-  let keeper: LogTimeAdvancer;
+  let advancer: LogTimeAdvancer;
   let proposer: Proposer;
 
   beforeEach(async () => {
@@ -21,13 +21,13 @@
     state = createState();
     log = new LocalLog(state.machine);
     proposer = new Proposer(log, LIMITS);
-    keeper = new LogTimeAdvancer(state.machine, log, proposer, clock, silentLog);
-    void keeper.run();
+    advancer = new LogTimeAdvancer(state.machine, log, proposer, clock, silentLog);
+    void advancer.run();
     await proposer.propose('take', { name: 't', holder: 'a', incarnation: 1n, limit: 1, ttlMs: 600_000 });
   });
 
   afterEach(() => {
-    keeper.stop();
+    advancer.stop();
   });
 
   /** Advances the clock in steps and waits for the proposals after each. */
--- a/packages/control/src/weights/remoteWeights.ts
+++ b/packages/control/src/weights/remoteWeights.ts
@@ -14,7 +14,7 @@
 /** Above any configuration number, so that the stream omits the configuration, which would be held a second time. */
 const NEWEST_NUMBER = BigInt(Number.MAX_SAFE_INTEGER);
 
-/** Dependencies of `RemoteWeights`. */
+/** Dependencies of `RemoteWeightUpdater`. */
 export interface RemoteWeightUpdaterParts {
   readonly name: string;
   readonly incarnation: bigint;
